--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -19,9 +19,9 @@
 
 struct Instance {
     Reply reply;
-    Nanos origin = 0;
+    Nanoseconds origin = 0;
     bool stamps = false;
-    std::unique_ptr<Front> front;
+    std::unique_ptr<Router> front;
     std::string actions;
     bool inBatch = false;
 
@@ -37,8 +37,8 @@
 struct Entry {
     std::string store;
     int group, zone;
-    Standing standing;
-    Nanos started;
+    StoreState standing;
+    Nanoseconds started;
     bool primary;
 };
 
@@ -55,21 +55,23 @@
     return std::string(std::string_view(in[name]));
 }
 
-Ending endingOf(std::string_view code) {
-    static constexpr std::pair<char, Ending> known[] = {
-        {'S', Ending::delivered}, {'E', Ending::error},       {'F', Ending::full},
-        {'T', Ending::timedOut},  {'C', Ending::unreachable}, {'R', Ending::broken},
-        {'X', Ending::cancelled}, {'N', Ending::unsent},      {'M', Ending::missed}};
+AttemptOutcome endingOf(std::string_view code) {
+    static constexpr std::pair<char, AttemptOutcome> known[] = {
+        {'S', AttemptOutcome::succeeded},   {'E', AttemptOutcome::error},
+        {'F', AttemptOutcome::overloaded},  {'T', AttemptOutcome::timedOut},
+        {'C', AttemptOutcome::unreachable}, {'R', AttemptOutcome::connectionLost},
+        {'X', AttemptOutcome::cancelled},   {'N', AttemptOutcome::notSent},
+        {'M', AttemptOutcome::notEligible}};
     if (code.size() == 1)
         for (const auto& [letter, ending] : known)
             if (letter == code[0]) return ending;
     throw Misread("unknown state-code '" + std::string(code) + "'");
 }
 
-Standing standingOf(std::string_view condition) {
-    if (condition == "up") return Standing::up;
-    if (condition == "draining") return Standing::draining;
-    if (condition == "removed") return Standing::removed;
+StoreState standingOf(std::string_view condition) {
+    if (condition == "up") return StoreState::up;
+    if (condition == "draining") return StoreState::draining;
+    if (condition == "removed") return StoreState::removed;
     throw Misread("unknown condition '" + std::string(condition) + "'");
 }
 
@@ -85,7 +87,7 @@
     inventories[std::int64_t(event["ref"])] = std::move(entries);
 }
 
-void members(Front& front, const object& event) {
+void members(Router& front, const object& event) {
     const std::string_view how(event["how"]);
     if (how == "failed") return front.listFailed();
     if (how != "delta" && how != "full" && how != "cached")
@@ -102,62 +104,62 @@
     const auto report = present(event, "gauge");
     if (!report) return;
     const object values(*report);
-    std::optional<Nanos> position;
+    std::optional<Nanoseconds> position;
     std::optional<bool> primary;
     if (auto x0 = present(values, "x0"))
-        position = instance.origin + static_cast<Nanos>(std::floor(double(*x0) * 1e9));
+        position = instance.origin + static_cast<Nanoseconds>(std::floor(double(*x0) * 1e9));
     if (auto x1 = present(values, "x1")) primary = double(*x1) >= 0.5;
-    instance.front->reported(text(event, "store"), position, primary);
+    instance.front->storeReported(text(event, "store"), position, primary);
 }
 
 void outcome(const Instance& instance, const object& event) {
     const std::int64_t mark = present(event, "mark") ? std::int64_t(event["mark"]) : 0;
-    std::optional<Nanos> position;
-    if (mark > 0 && (instance.stamps || mark / 4 > 0)) position = instance.origin + millis(mark / 4);
+    std::optional<Nanoseconds> position;
+    if (mark > 0 && (instance.stamps || mark / 4 > 0)) position = instance.origin + milliseconds(mark / 4);
     const Role role = mark % 4 == 1 ? Role::primary : mark % 4 == 2 ? Role::replica : Role::unknown;
     gauge(instance, event);
-    instance.front->ended(text(event, "id"), static_cast<int>(std::int64_t(event["send-no"])),
-                          text(event, "store"), endingOf(std::string_view(event["state-code"])),
-                          nanosOf(double(event["delay-seen-ms"])), role, position,
-                          present(event, "finished") && bool(event["finished"]));
+    instance.front->attemptEnded(text(event, "id"), static_cast<int>(std::int64_t(event["send-no"])),
+                                 text(event, "store"), endingOf(std::string_view(event["state-code"])),
+                                 nanosOf(double(event["delay-seen-ms"])), role, position,
+                                 present(event, "finished") && bool(event["finished"]));
 }
 
-void create(Instance& instance, const object& event, Nanos now) {
+void create(Instance& instance, const object& event, Nanoseconds now) {
     const Opening opening = readCharter(object(event["params"]));
     instance.origin = opening.origin;
     instance.stamps = opening.stamps;
     const element seed = event["init-seed"];
-    instance.front = std::make_unique<Front>(
+    instance.front = std::make_unique<Router>(
         opening.charter, seed.is_uint64() ? std::uint64_t(seed) : std::uint64_t(std::int64_t(seed)), now,
         instance.reply);
 }
 
-void handle(Instance& instance, std::string_view name, const object& event, Nanos now) {
+void handle(Instance& instance, std::string_view name, const object& event, Nanoseconds now) {
     if (name == "Create") return create(instance, event, now);
     if (!instance.front) throw Misread("event for an instance that was not created");
-    Front& front = *instance.front;
-    front.clock(now);
+    Router& front = *instance.front;
+    front.setTime(now);
     if (name == "Order") {
-        std::optional<Nanos> sinceWrite;
+        std::optional<Nanoseconds> sinceWrite;
         // 0 stands for a session that has written nothing.
         if (const double since = numberOr(event, "since-write-ms", 0); since > 0) sinceWrite = nanosOf(since);
-        front.take(text(event, "id"), static_cast<int>(std::int64_t(event["qos"])),
-                   present(event, "user") ? text(event, "user") : std::string(),
-                   nanosOf(double(event["expires-in-ms"])), static_cast<int>(double(event["cluster-no"])),
-                   sinceWrite);
+        front.submit(text(event, "id"), static_cast<int>(std::int64_t(event["qos"])),
+                     present(event, "user") ? text(event, "user") : std::string(),
+                     nanosOf(double(event["expires-in-ms"])), static_cast<int>(double(event["cluster-no"])),
+                     sinceWrite);
     } else if (name == "Outcome") {
         outcome(instance, event);
     } else if (name == "Timer") {
-        front.woke(std::int64_t(event["handle"]));
+        front.timerFired(std::int64_t(event["handle"]));
     } else if (name == "Health") {
         gauge(instance, event);
-        front.probed(text(event, "store"), endingOf(std::string_view(event["state-code"])));
+        front.probeEnded(text(event, "store"), endingOf(std::string_view(event["state-code"])));
     } else if (name == "Members") {
         members(front, event);
     } else if (name == "Lapsed") {
-        front.lapsed(text(event, "id"));
+        front.abandon(text(event, "id"));
     } else if (name == "Begun") {
-        front.begun(text(event, "id"));
+        front.responseStarted(text(event, "id"));
     } else if (name != "Memo") {  // fronts say nothing to each other, so there is nothing to hear
         throw Misread("unknown event '" + std::string(name) + "'");
     }
@@ -165,7 +167,7 @@
 
 std::string batch(const element& line) {
     const object from(line);
-    const Nanos now = nanosOf(double(from["ts-ms"]));
+    const Nanoseconds now = nanosOf(double(from["ts-ms"]));
     const std::int64_t frame(from["frame"]);
     std::vector<std::pair<std::string, Instance*>> active;
     for (element item : array(from["parts"])) {
--- a/adapter/reply.hpp
+++ b/adapter/reply.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "front.hpp"
+#include "router.hpp"
 
 namespace granitereel::adapter {
 
@@ -29,9 +29,9 @@
 }
 
 // Nanoseconds as the wire's milliseconds, without loss.
-inline std::string wireTime(Nanos time) {
+inline std::string wireTime(Nanoseconds time) {
     char text[32];
-    const Nanos whole = time / 1'000'000, part = time % 1'000'000;
+    const Nanoseconds whole = time / 1'000'000, part = time % 1'000'000;
     std::snprintf(text, sizeof text, "%lld.%06lld", static_cast<long long>(whole),
                   static_cast<long long>(part));
     return text;
@@ -50,7 +50,7 @@
     return text;
 }
 
-class Reply final : public Outlet {
+class Reply final : public RouterOutput {
 public:
     // The actions since the last call, as the items of a JSON array.
     std::string drain() {
@@ -59,29 +59,33 @@
         return text;
     }
 
-    void launch(const std::string& id, const std::string& store, Nanos within) override {
+    void startAttempt(const std::string& id, const std::string& store, Nanoseconds within) override {
         open("Deliver").field("id", id).field("store", store);
         if (within > 0) raw("allow-for-ms", wireTime(within));
         close();
     }
-    void nack(const std::string& id, Nanos comeBackAfter) override {
+    void reject(const std::string& id, Nanoseconds comeBackAfter) override {
         open("PushBack").field("id", id);
         if (comeBackAfter > 0) raw("cool-down-ms", wireTime(comeBackAfter));
         close();
     }
-    void writeOff(const std::string& id) override { open("Lose").field("id", id).close(); }
+    void reportIndeterminate(const std::string& id) override { open("Lose").field("id", id).close(); }
     void cancel(const std::string& id, int launchNo) override {
         open("StopAttempt").field("id", id).raw("send-no", std::to_string(launchNo)).close();
     }
     void probe(const std::string& store) override { open("Sample").field("store", store).close(); }
-    void hangUp(const std::string& store) override { open("HangUp").field("store", store).close(); }
-    void followList(bool on) override { open("StreamChanges").raw("want", on ? "true" : "false").close(); }
-    void askList() override { open("Refresh").close(); }
-    void tell(std::optional<int> front, const std::string& bytes) override {
+    void closeIdleConnections(const std::string& store) override {
+        open("HangUp").field("store", store).close();
+    }
+    void subscribeToList(bool on) override {
+        open("StreamChanges").raw("want", on ? "true" : "false").close();
+    }
+    void requestList() override { open("Refresh").close(); }
+    void send(std::optional<int> front, const std::string& bytes) override {
         open("Announce").raw("target", front ? std::to_string(*front) : "\"*\"").field("body", base64(bytes));
         close();
     }
-    void wake(Nanos when, std::int64_t handle) override {
+    void wakeAt(Nanoseconds when, std::int64_t handle) override {
         open("WakeAt").raw("when-ms", wireTime(when)).raw("handle", std::to_string(handle)).close();
     }
     void log(const std::string& line) override { open("NoteDown").field("words", line).close(); }
--- a/bench/owners.cpp
+++ b/bench/owners.cpp
@@ -1,5 +1,6 @@
-// What leases cost, and for how long a key is without an owner, in virtual time; and how much of a cold store's credit
-// is used with what others leave, and without. One row a case; `--benchmark_counters_tabular=true` makes a table.
+// What leases cost, and for how long a key is without an owner, in virtual time; and how much of a cold
+// store's credit is used with what others leave, and without. One row a case;
+// `--benchmark_counters_tabular=true` makes a table.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -21,20 +22,21 @@
 
 struct Fleet {
     World world;
-    Fleet(int count, double loss, std::vector<std::string> keys, std::uint64_t seed = 1) : world(count, seed) {
+    Fleet(int count, double loss, std::vector<std::string> keys, std::uint64_t seed = 1)
+        : world(count, seed) {
         world.drift = 0.001;
-        world.guests = [count, keys](int, tier::Members& members, Nanos now, std::uint64_t guestSeed) {
+        world.guests = [count, keys](int, tier::Members& members, Nanoseconds now, std::uint64_t guestSeed) {
             World::Guests all;
-            auto clerk = std::make_unique<Clerk>(members, Electors::first(count), Terms{}, 1000, guestSeed, now,
-                                                 [](const std::string&) {});
+            auto clerk = std::make_unique<Clerk>(members, Electors::first(count), Terms{}, 1000, guestSeed,
+                                                 now, [](const std::string&) {});
             for (const std::string& key : keys) clerk->owners().need(keyOf(key), key);
             all.push_back(std::move(clerk));
             return all;
         };
         for (int i = 0; i < count; ++i) world.start(i);
-        world.run(world.now() + millis(15'000));
+        world.run(world.now() + milliseconds(15'000));
         world.loss = loss;
-        world.run(world.now() + millis(10'000));
+        world.run(world.now() + milliseconds(10'000));
     }
     bool holds(int front, Key key) {
         return world.up(front) && !world.stalledNow(front) &&
@@ -56,18 +58,19 @@
         std::vector<double> gaps;
         for (int n = 0; n < (count >= 300 ? 10 : 40); ++n) {
             World& world = fleet.world;
-            world.runUntil(millis(60'000), [&] { return fleet.owner(key) >= 0; });
+            world.runUntil(milliseconds(60'000), [&] { return fleet.owner(key) >= 0; });
             const int old = fleet.owner(key);
             if (old < 0) break;
-            const Nanos lost = world.now();
+            const Nanoseconds lost = world.now();
             if (how == 0) world.kill(old);
-            if (how == 1) world.stall(old, millis(30'000));
+            if (how == 1) world.stall(old, milliseconds(30'000));
             if (how == 2) world.leave(old);
-            world.runUntil(millis(60'000), [&] { return fleet.owner(key) >= 0 && fleet.owner(key) != old; });
+            world.runUntil(milliseconds(60'000),
+                           [&] { return fleet.owner(key) >= 0 && fleet.owner(key) != old; });
             gaps.push_back(double(world.now() - lost) / 1e9);
-            if (how == 2) world.run(world.now() + millis(2'000));
+            if (how == 2) world.run(world.now() + milliseconds(2'000));
             if (how != 1) world.start(old);
-            world.run(world.now() + millis(35'000));
+            world.run(world.now() + milliseconds(35'000));
         }
         state.counters["without_s"] = quantile(gaps, 0.5);
         state.counters["p99_s"] = quantile(gaps, 0.99);
@@ -84,7 +87,7 @@
             for (int i = 0; with && i < many; ++i) names.push_back("k/" + std::to_string(i));
             Fleet fleet(count, 0, names);
             const auto before = fleet.world.deliveredBytes, sent = fleet.world.delivered;
-            fleet.world.run(fleet.world.now() + millis(30'000));
+            fleet.world.run(fleet.world.now() + milliseconds(30'000));
             bytes[with] = double(fleet.world.deliveredBytes - before) / 30;
             datagrams[with] = double(fleet.world.delivered - sent) / 30;
         }
@@ -94,13 +97,14 @@
     }
 }
 
-// One process's credit at one cold store, as `coldRoom` keeps it: earned in proportion, at most one launch of it kept.
+// One process's credit at one cold store, as `coldRoom` keeps it: earned in proportion, at most one launch of
+// it kept.
 struct Till final : Warmer::Till {
     const World& world;
     const double part;
-    Nanos at;
+    Nanoseconds at;
     double ceded = 0, credit = 0, lent = 0, used = 0;
-    Nanos lentUntil = 0;
+    Nanoseconds lentUntil = 0;
     bool cold_ = false;
     static constexpr double work = 80e6;
     Till(const World& in, double share) : world(in), part(share), at(in.now()) {}
@@ -110,14 +114,14 @@
     }
     std::vector<Warmer::Cold> cold() override {
         if (!cold_) return {};
-        return {{"s", millis(5), part}};
+        return {{"s", milliseconds(5), part}};
     }
     void cede(const std::string&, double by) override { settle(), ceded = by; }
-    void lend(const std::string&, Nanos amount, Nanos until) override {
+    void lend(const std::string&, Nanoseconds amount, Nanoseconds until) override {
         lent += double(amount);
         lentUntil = until;
     }
-    bool launch(Nanos now) {
+    bool startAttempt(Nanoseconds now) {
         settle();
         if (now < lentUntil && lent >= work)
             lent -= work;
@@ -134,53 +138,58 @@
     Till till;
 };
 struct WarmHost final : Beside, WarmClerk {
-    WarmHost(const World& world, double part, tier::Members& members, Clerk& leases, Nanos now)
+    WarmHost(const World& world, double part, tier::Members& members, Clerk& leases, Nanoseconds now)
         : Beside{Till(world, part)}, WarmClerk(members, leases, {}, now, till, [](const std::string&) {}) {}
 };
 
-// Transactions that wait half a second each come to one front in ten at ten times the mean, by chance, and to the others
-// seldom; all together twice what the store may be given (0.6 of a core for 15 s). Share of that used.
+// Transactions that wait half a second each come to one front in ten at ten times the mean, by chance, and to
+// the others seldom; all together twice what the store may be given (0.6 of a core for 15 s). Share of that
+// used.
 void warms(benchmark::State& state) {
     const int count = static_cast<int>(state.range(0));
     for (auto each : state) {
         for (const bool lending : {false, true}) {
             World world(count, 2);
-            world.guests = [&world, count](int, tier::Members& members, Nanos now, std::uint64_t seed) {
+            world.guests = [&world, count](int, tier::Members& members, Nanoseconds now, std::uint64_t seed) {
                 World::Guests all;
-                auto leases = std::make_unique<Clerk>(members, Electors::first(count), Terms{}, 1000, seed, now,
-                                                      [](const std::string&) {});
+                auto leases = std::make_unique<Clerk>(members, Electors::first(count), Terms{}, 1000, seed,
+                                                      now, [](const std::string&) {});
                 auto host = std::make_unique<WarmHost>(world, 0.6 / count, members, *leases, now);
                 all.push_back(std::move(leases));
                 all.push_back(std::move(host));
                 return all;
             };
             for (int i = 0; i < count; ++i) world.start(i);
-            world.run(world.now() + millis(10'000));
+            world.run(world.now() + milliseconds(10'000));
             const auto host = [&](int i) -> WarmHost& { return static_cast<WarmHost&>(world.guest(i, 1)); };
             std::minstd_rand chance(7);
             chance.discard(2);
-            std::vector<std::vector<Nanos>> waiting(static_cast<std::size_t>(count));
+            std::vector<std::vector<Nanoseconds>> waiting(static_cast<std::size_t>(count));
             for (int i = 0; i < count; ++i) {
                 host(i).till.settle();
                 host(i).till.credit = -Till::work * double(chance() % 1000) / 1000;
                 host(i).till.cold_ = lending;
             }
-            const Nanos began = world.now(), step = millis(5);
+            const Nanoseconds began = world.now(), step = milliseconds(5);
             const int busy = std::max(1, count / 10);
             // Arrivals in a step, over all fronts: twice 0.6 core's worth of launches.
             const double arrivals = 2 * 0.6 * double(step) / Till::work;
             std::int64_t bytes = world.deliveredBytes;
-            while (world.now() < began + millis(15'000)) {
+            while (world.now() < began + milliseconds(15'000)) {
                 world.run(world.now() + step);
                 for (int i = 0; i < count; ++i) {
-                    const double mine = i < busy ? arrivals * 0.5 / busy : arrivals * 0.5 / std::max(1, count - busy);
+                    const double mine =
+                        i < busy ? arrivals * 0.5 / busy : arrivals * 0.5 / std::max(1, count - busy);
                     auto& queue = waiting[static_cast<std::size_t>(i)];
-                    if (double(chance() % 1'000'000) < mine * 1e6) queue.push_back(world.now() + millis(500));
-                    std::erase_if(queue, [&](Nanos until) { return until <= world.now(); });
-                    while (!queue.empty() && host(i).till.launch(world.now())) queue.erase(queue.begin());
+                    if (double(chance() % 1'000'000) < mine * 1e6)
+                        queue.push_back(world.now() + milliseconds(500));
+                    std::erase_if(queue, [&](Nanoseconds until) { return until <= world.now(); });
+                    while (!queue.empty() && host(i).till.startAttempt(world.now()))
+                        queue.erase(queue.begin());
                     if (queue.empty() || !lending) continue;
-                    const Nanos clock = world.clockOf(i);
-                    host(i).warmer().scarce(clock, "s", {Nanos(Till::work), 1, clock + queue.front() - world.now()});
+                    const Nanoseconds clock = world.clockOf(i);
+                    host(i).warmer().scarce(
+                        clock, "s", {Nanoseconds(Till::work), 1, clock + queue.front() - world.now()});
                     world.stir(i);
                 }
             }
--- a/bench/pooler.cpp
+++ b/bench/pooler.cpp
@@ -1,12 +1,13 @@
-// What a statement costs the system's proxy, beside what a transaction costs the module that decides in both programs.
-// Stores answer at once and out of nothing: their stand-in is in the figure, so it is an upper bound.
+// What a statement costs the system's proxy, beside what a transaction costs the module that decides in both
+// programs. Stores answer at once and out of nothing: their stand-in is in the figure, so it is an upper
+// bound.
 #include <benchmark/benchmark.h>
 
 #include "standins/outlet.hpp"
 #include "standins/poolerrig.hpp"
 
 namespace {
-using granitereel::millis;
+using granitereel::milliseconds;
 using granitereel::standins::PoolerRig;
 
 void statement(benchmark::State& state, const char* database, const std::string& text) {
@@ -22,14 +23,18 @@
         benchmark::DoNotOptimize(rig.told(client));
         if (no % 64 == 0) {
             state.PauseTiming();
-            rig.pass(millis(20));
+            rig.pass(milliseconds(20));
             rig.ask(writer, "QUERY w" + std::to_string(no) + " WRITE x 1");
             state.ResumeTiming();
         }
     }
 }
-void readLead(benchmark::State& state) { statement(state, "primary", "READ x"); }
-void readReplica(benchmark::State& state) { statement(state, "bounded", "READ x"); }
+void readLead(benchmark::State& state) {
+    statement(state, "primary", "READ x");
+}
+void readReplica(benchmark::State& state) {
+    statement(state, "bounded", "READ x");
+}
 
 void transaction(benchmark::State& state) {
     PoolerRig rig;
@@ -45,7 +50,7 @@
         benchmark::DoNotOptimize(rig.told(client));
         if (no % 256 == 0) {
             state.PauseTiming();
-            rig.pass(millis(20));
+            rig.pass(milliseconds(20));
             state.ResumeTiming();
         }
     }
@@ -53,30 +58,34 @@
 
 // The module alone: a read that is taken, launched and answered.
 struct Sink : granitereel::standins::SilentOutlet {
-    void launch(const std::string& t, const std::string& s, granitereel::Nanos) override { last = {t, s}; }
+    void startAttempt(const std::string& t, const std::string& s, granitereel::Nanoseconds) override {
+        last = {t, s};
+    }
     std::pair<std::string, std::string> last;
 };
 void decision(benchmark::State& state) {
-    granitereel::Charter charter;
-    charter.launchLimit = 4;
-    granitereel::Lane lane;
-    lane.name = "look";
-    lane.goalTime = millis(200);
-    lane.cutOff = millis(1000);
-    charter.lanes = {lane};
+    granitereel::RoutingConfig charter;
+    charter.maxAttempts = 4;
+    granitereel::TransactionClass transactionClass;
+    transactionClass.name = "look";
+    transactionClass.targetLatency = milliseconds(200);
+    transactionClass.timeout = milliseconds(1000);
+    charter.classes = {transactionClass};
     Sink sink;
-    granitereel::Nanos now = millis(1000);
-    granitereel::Front front(charter, 1, now, sink);
+    granitereel::Nanoseconds now = milliseconds(1000);
+    granitereel::Router front(charter, 1, now, sink);
     front.listBegins(true);
-    for (const char* store : {"a", "b", "c"}) front.listEntry(store, 1, 0, granitereel::Standing::up, 0, store[0] == 'a');
+    for (const char* store : {"a", "b", "c"})
+        front.listEntry(store, 1, 0, granitereel::StoreState::up, 0, store[0] == 'a');
     front.listEnds();
     std::uint64_t no = 0;
     for (auto _ : state) {
-        front.clock(now += 1'000'000);
+        front.setTime(now += 1'000'000);
         const std::string id = std::to_string(++no);
-        front.take(id, 0, "", millis(1000), 1, {});
-        front.ended(id, 0, sink.last.second, granitereel::Ending::delivered, millis(1), granitereel::Role::unknown, {}, true);
-        if (no % 20 == 0) front.woke(0);
+        front.submit(id, 0, "", milliseconds(1000), 1, {});
+        front.attemptEnded(id, 0, sink.last.second, granitereel::AttemptOutcome::succeeded, milliseconds(1),
+                           granitereel::Role::unknown, {}, true);
+        if (no % 20 == 0) front.timerFired(0);
     }
 }
 BENCHMARK(decision);
--- a/bench/tier.cpp
+++ b/bench/tier.cpp
@@ -29,10 +29,11 @@
     auto world = std::make_unique<World>(count, 1);
     world->drift = 0.001;
     for (int i = 0; i < count; ++i) world->start(i);
-    world->runUntil(millis(120'000), [&] { return world->agree() && world->sight(0) == tier::Sight::whole; });
-    world->run(world->now() + millis(10'000));
+    world->runUntil(milliseconds(120'000),
+                    [&] { return world->agree() && world->sight(0) == tier::Sight::whole; });
+    world->run(world->now() + milliseconds(10'000));
     world->loss = loss;
-    world->run(world->now() + millis(5'000));
+    world->run(world->now() + milliseconds(5'000));
     world->verdicts.clear();
     return world;
 }
@@ -44,7 +45,7 @@
         const auto world = begun(count, double(state.range(1)) / 100);
         const std::int64_t bytes = world->deliveredBytes, datagrams = world->delivered;
         const double before = processorSeconds(), seconds = count >= 1000 ? 30 : count >= 300 ? 120 : 3600;
-        world->run(world->now() + millis(static_cast<std::int64_t>(seconds * 1000)));
+        world->run(world->now() + milliseconds(static_cast<std::int64_t>(seconds * 1000)));
         const double per = seconds * count;
         const double bytesEach = double(world->deliveredBytes - bytes) / per;
         state.counters["bytes_s"] = bytesEach;
@@ -63,9 +64,9 @@
     for (auto each : state) {
         World world(count, 1);
         world.loss = double(state.range(1)) / 100;
-        const Nanos begin = world.now();
+        const Nanoseconds begin = world.now();
         for (int i = 0; i < count; ++i) world.start(i);
-        world.runUntil(millis(120'000), [&] {
+        world.runUntil(milliseconds(120'000), [&] {
             for (int i = 0; i < count; ++i)
                 if (world.sight(i) != tier::Sight::whole) return false;
             return world.agree();
@@ -75,7 +76,8 @@
     }
 }
 
-// One front dies after another: seconds until the first and the last of the others say so, and what it costs all.
+// One front dies after another: seconds until the first and the last of the others say so, and what it costs
+// all.
 void dies(benchmark::State& state) {
     const int count = static_cast<int>(state.range(0)), deaths = count >= 1000 ? 3 : count >= 300 ? 10 : 60;
     for (auto each : state) {
@@ -86,8 +88,8 @@
             const int victim = n % count;
             world->verdicts.clear();
             world->kill(victim);
-            const Nanos died = world->now();
-            world->runUntil(millis(120'000), [&] {
+            const Nanoseconds died = world->now();
+            world->runUntil(milliseconds(120'000), [&] {
                 for (int i = 0; i < count; ++i)
                     if (world->up(i) && world->at(i).member(victim).state != State::gone) return false;
                 return true;
@@ -99,7 +101,7 @@
             last.push_back(double(world->now() - died) / 1e9);
             falsely += world->falseVerdicts();
             world->start(victim);
-            world->run(world->now() + millis(10'000));
+            world->run(world->now() + milliseconds(10'000));
         }
         state.counters["first_s"] = quantile(first, 0.5);
         state.counters["first_p99"] = quantile(first, 0.99);
@@ -115,10 +117,10 @@
     for (auto each : state) {
         const auto world = begun(count, double(state.range(1)) / 100);
         const std::int64_t bytes = world->deliveredBytes;
-        const Nanos died = world->now();
+        const Nanoseconds died = world->now();
         for (int i = 0; i < dead; ++i) world->kill(i);
         const auto until = [&](auto holds) {
-            world->runUntil(millis(120'000), [&] {
+            world->runUntil(milliseconds(120'000), [&] {
                 for (int i = 0; i < count; ++i)
                     if (world->up(i) && !holds(i)) return false;
                 return true;
@@ -126,10 +128,11 @@
             return double(world->now());
         };
         state.counters["all_gone_s"] =
-            (until([&](int i) { return static_cast<int>(world->at(i).in(State::gone).size()) >= dead; }) - double(died)) /
+            (until([&](int i) { return static_cast<int>(world->at(i).in(State::gone).size()) >= dead; }) -
+             double(died)) /
             1e9;
         state.counters["false"] = world->falseVerdicts();
-        const Nanos back = world->now();
+        const Nanoseconds back = world->now();
         for (int i = 0; i < dead; ++i) world->start(i);
         state.counters["all_back_s"] =
             (until([&](int i) { return world->sight(i) == tier::Sight::whole; }) - double(back)) / 1e9;
@@ -143,10 +146,10 @@
     for (auto each : state) {
         const auto world = begun(count, double(state.range(1)) / 100);
         world->cut = [count](int from, int to) { return (from < count / 2) != (to < count / 2); };
-        world->run(world->now() + millis(60'000));
+        world->run(world->now() + milliseconds(60'000));
         world->cut = nullptr;
-        const Nanos healed = world->now();
-        world->runUntil(millis(120'000), [&] {
+        const Nanoseconds healed = world->now();
+        world->runUntil(milliseconds(120'000), [&] {
             for (int i = 0; i < count; ++i)
                 if (world->sight(i) != tier::Sight::whole) return false;
             return world->agree();
--- a/fuzz/letter.cpp
+++ b/fuzz/letter.cpp
@@ -1,9 +1,9 @@
-// Whatever comes from another front: read as it is, then as the body of a sound frame, and handed to a front that
-// knows eight others. It must neither fail nor say anything that does not fit a datagram.
-#include <cstdlib>
-
+// Whatever comes from another front: read as it is, then as the body of a sound frame, and handed to a front
+// that knows eight others. It must neither fail nor say anything that does not fit a datagram.
 #include "tier/letter.hpp"
 
+#include <cstdlib>
+
 using namespace granitereel;
 
 namespace {
@@ -25,10 +25,10 @@
     const tier::Letter letter = tier::read(tier::frame(bytes, "t", 1, 0), "t", 1, 0);
     if (letter.flaw != tier::Flaw::none) return 0;
     Mouth mouth;
-    tier::Members members(0, 70, 5, 1, {}, millis(1'000'000), mouth);
+    tier::Members members(0, 70, 5, 1, {}, milliseconds(1'000'000), mouth);
     for (int i = 1; i <= 3; ++i) {
-        members.heard(millis(1'000'000 + i * 400), i, letter.said);
-        members.tick(millis(1'000'100 + i * 400));
+        members.heard(milliseconds(1'000'000 + i * 400), i, letter.said);
+        members.tick(milliseconds(1'000'100 + i * 400));
     }
     return 0;
 }
--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -1,11 +1,11 @@
-// What clients and stores say to the proxy, under libFuzzer: whatever comes, nobody gets an answer to nothing and no
-// state is left behind.
+// What clients and stores say to the proxy, under libFuzzer: whatever comes, nobody gets an answer to nothing
+// and no state is left behind.
 #include <cstdint>
 #include <cstdlib>
 
 #include "standins/poolerrig.hpp"
 
-using granitereel::millis;
+using granitereel::milliseconds;
 using granitereel::standins::PoolerRig;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
@@ -18,7 +18,7 @@
     for (std::size_t i = 0; i < size; ++i) {
         // A byte above the letters lets something happen; the rest makes lines.
         if (data[i] == 0xf0) rig.step();
-        if (data[i] == 0xf1) rig.run(millis(20));
+        if (data[i] == 0xf1) rig.run(milliseconds(20));
         if (data[i] == 0xf2) rig.cutAll("s0");
         if (data[i] == 0xf3) rig.databases.loseNextAnswer("s0");
         if (data[i] == 0xf4) rig.databases.promote("s1"), rig.lead("s1");
@@ -30,13 +30,13 @@
         if (!rig.ended(client)) rig.say(client, line), ++asked;
         line.clear();
     }
-    rig.run(millis(2500));
+    rig.run(milliseconds(2500));
     std::size_t ready = 0;
     for (const std::string& told : rig.told(client)) ready += told.starts_with("READY ");
     if (ready > asked || (!rig.ended(client) && ready < asked)) std::abort();
     rig.leave(client);
     rig.leave(other);
-    rig.run(millis(100));
+    rig.run(milliseconds(100));
     if (rig.pooler->sessions() != 0) std::abort();
     return 0;
 }
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 // Three questions fit into a lease, so that one lost answer does not end it.
-constexpr Nanos askEvery = millis(200);
+constexpr Nanoseconds askEvery = milliseconds(200);
 // A parent whose exchange of boards has brought nothing for so long tells nothing.
-constexpr Nanos answerWithin = millis(1'000);
+constexpr Nanoseconds answerWithin = milliseconds(1'000);
 // The number of a candidate's question; those of the parent's begin above it.
 constexpr std::uint64_t candidateQuestion = 0;
 }  // namespace
 
-Agent::Agent(const settings::Settings& settings, Nanos now)
+Agent::Agent(const settings::Settings& settings, Nanoseconds now)
     : settings_(settings),
       gossip_(
           [this](int link, Json message) {
@@ -49,11 +49,11 @@
 
 // ---- links upwards --------------------------------------------------------------------------------
 
-std::optional<std::string> Agent::dial(Nanos now) {
+std::optional<std::string> Agent::dial(Nanoseconds now) {
     return search_.mayDial(now) ? search_.dial(preferred(), now) : std::nullopt;
 }
 
-void Agent::dialled(int link, const std::string& address, Nanos now) {
+void Agent::dialled(int link, const std::string& address, Nanoseconds now) {
     if (up_ == 0) {
         search_.dialEnded();
         return upward(link, address, now);
@@ -67,12 +67,12 @@
     said_.push_back({link, board::LeaseRequest{candidateQuestion}.toJson()});
 }
 
-void Agent::unreachable(const std::string& address, Nanos now) {
+void Agent::unreachable(const std::string& address, Nanoseconds now) {
     search_.dialEnded();
     backOff(address, now);
 }
 
-void Agent::backOff(const std::string& address, Nanos now) {
+void Agent::backOff(const std::string& address, Nanoseconds now) {
     search_.failed(address, now);
 }
 
@@ -80,7 +80,7 @@
     said_.push_back({link, {{"k", "hello"}, {"kind", "front"}, {"station", settings_.station}}});
 }
 
-void Agent::upward(int link, const std::string& address, Nanos now) {
+void Agent::upward(int link, const std::string& address, Nanoseconds now) {
     if (up_ != 0) {
         gossip_.leave(up_);
         if (link != 0) closed_.push_back(up_);
@@ -100,7 +100,7 @@
     gossip_.join(link, board::Side::dialler);
 }
 
-void Agent::giveUp(int link, Nanos now) {
+void Agent::giveUp(int link, Nanoseconds now) {
     const auto at = candidates_.find(link);
     log(at->second.address + " gives no lease");
     backOff(at->second.address, now);
@@ -111,13 +111,13 @@
 
 // ---- links below ----------------------------------------------------------------------------------
 
-void Agent::linkUp(int link, Nanos now) {
+void Agent::linkUp(int link, Nanoseconds now) {
     below_.insert(link);
     gossip_.advance(now, lease_.valid(now));
     gossip_.join(link, board::Side::acceptor);
 }
 
-void Agent::linkDown(int link, Nanos now) {
+void Agent::linkDown(int link, Nanoseconds now) {
     if (link == up_) return upward(0, "", now);
     if (candidates_.count(link)) return giveUp(link, now);
     below_.erase(link);
@@ -126,7 +126,7 @@
 
 // ---- what is said ---------------------------------------------------------------------------------
 
-void Agent::heard(int link, const Json& message, Nanos now) {
+void Agent::heard(int link, const Json& message, Nanoseconds now) {
     const std::string kind = message.at("k");
     const bool candidate = candidates_.count(link) > 0;
     gossip_.advance(now, lease_.valid(now));
@@ -149,7 +149,7 @@
     }
 }
 
-void Agent::candidateReplied(int link, const board::LeaseReply& reply, Nanos now) {
+void Agent::candidateReplied(int link, const board::LeaseReply& reply, Nanoseconds now) {
     if (reply.left <= 0) return giveUp(link, now);
     const std::string address = candidates_.at(link).address;
     if (search_.improves(address, preferred(), now)) return upward(link, address, now);
@@ -158,7 +158,7 @@
     closed_.push_back(link);
 }
 
-void Agent::leaseReplied(const board::LeaseReply& reply, Nanos now) {
+void Agent::leaseReplied(const board::LeaseReply& reply, Nanoseconds now) {
     const auto asked = questions_.answered(reply.number);
     if (!asked) return;
     bool complete = gossip_.complete(up_);
@@ -180,7 +180,7 @@
     reportedWithoutLease_ = false;
 }
 
-void Agent::tick(Nanos now) {
+void Agent::tick(Nanoseconds now) {
     now_ = now;
     gossip_.advance(now, lease_.valid(now));
     log(contact_.seen(lease_.until(), now));
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -14,7 +14,7 @@
 #include "board/contact_watch.hpp"
 #include "board/gossip.hpp"
 #include "board/lease.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 #include "settings/settings.hpp"
 
 namespace granitereel::agent {
@@ -27,7 +27,7 @@
         int link = 0;
         Json message;
     };
-    Agent(const settings::Settings& settings, Nanos now);
+    Agent(const settings::Settings& settings, Nanoseconds now);
 
     // Where the link upwards is to be sought now, best first: addresses of members, or of agents that pass
     // on.
@@ -35,19 +35,19 @@
     // What is to be tried beside the present parent while the link to that one stands; empty: nothing.
     std::string betterParent() const;
     // The address to dial now, if any. One of dialled() and unreachable() tells what came of it.
-    std::optional<std::string> dial(Nanos now);
+    std::optional<std::string> dial(Nanoseconds now);
     // A link to the address is there. It becomes the one upwards at once where there is none; else once its
     // other side has shown to have a lease, or it is given up.
-    void dialled(int link, const std::string& address, Nanos now);
-    void unreachable(const std::string& address, Nanos now);
+    void dialled(int link, const std::string& address, Nanoseconds now);
+    void unreachable(const std::string& address, Nanoseconds now);
     // The upward link is that of `address`; 0 as `link`: it is lost.
-    void upward(int link, const std::string& address, Nanos now);
+    void upward(int link, const std::string& address, Nanoseconds now);
     // No link could be had to it, or no lease: others go before it for a while, which doubles.
-    void backOff(const std::string& address, Nanos now);
-    void linkUp(int link, Nanos now);  // an agent below, or the proxy
-    void linkDown(int link, Nanos now);
-    void heard(int link, const Json& message, Nanos now);
-    void tick(Nanos now);
+    void backOff(const std::string& address, Nanoseconds now);
+    void linkUp(int link, Nanoseconds now);  // an agent below, or the proxy
+    void linkDown(int link, Nanoseconds now);
+    void heard(int link, const Json& message, Nanoseconds now);
+    void tick(Nanoseconds now);
     std::vector<Said> take() { return std::exchange(said_, {}); }
     // Links that are to be closed.
     std::vector<int> takeClosed() { return std::exchange(closed_, {}); }
@@ -56,7 +56,7 @@
     // Whether anyone hangs on this one.
     bool feeds() const { return !below_.empty(); }
     const board::Board& board() const { return gossip_.board(); }
-    Nanos leaseUntil() const { return lease_.until(); }
+    Nanoseconds leaseUntil() const { return lease_.until(); }
     // How often one of its invariants was found broken.
     std::uint64_t violations() const;
 
@@ -64,12 +64,12 @@
     // A link whose other side has not shown to have a lease yet.
     struct Candidate {
         std::string address;
-        Nanos since = 0;
+        Nanoseconds since = 0;
     };
     std::vector<std::string> preferred() const;
-    void leaseReplied(const board::LeaseReply& reply, Nanos now);
-    void candidateReplied(int link, const board::LeaseReply& reply, Nanos now);
-    void giveUp(int link, Nanos now);
+    void leaseReplied(const board::LeaseReply& reply, Nanoseconds now);
+    void candidateReplied(int link, const board::LeaseReply& reply, Nanoseconds now);
+    void giveUp(int link, Nanoseconds now);
     void greet(int link);
     void log(std::optional<std::string> line);
 
@@ -86,7 +86,7 @@
     board::HeldLease lease_;
     board::ContactWatch contact_;
     board::Invariant newsBeforeLease_;
-    Nanos askedAt_ = 0, now_ = 0;
+    Nanoseconds askedAt_ = 0, now_ = 0;
     bool reportedWithoutLease_ = false;  // the parent was found to give no lease
 };
 
--- a/src/agent/parent_search.cpp
+++ b/src/agent/parent_search.cpp
@@ -7,23 +7,23 @@
 namespace granitereel::agent {
 
 namespace {
-constexpr Nanos shortestBackoff = millis(2'000), longestBackoff = millis(16'000);
+constexpr Nanoseconds shortestBackoff = milliseconds(2'000), longestBackoff = milliseconds(16'000);
 // Connections that may be on their way at once: a machine without power says nothing for a second, and others
 // are tried beside it.
 constexpr int dialsMost = 3;
-constexpr Nanos dialEvery = millis(100);
+constexpr Nanoseconds dialEvery = milliseconds(100);
 // Once all have been tried in vain, a further round is slower: thousands of agents may be searching while no
 // member has a lease.
-constexpr Nanos dialAgainEvery = millis(1'000);
+constexpr Nanoseconds dialAgainEvery = milliseconds(1'000);
 // A new link is given so long before a better one is sought, which is then looked for as often.
-constexpr Nanos betterEvery = millis(500);
+constexpr Nanoseconds betterEvery = milliseconds(500);
 // All must have been tried within this, and so much more for each address.
-constexpr Nanos triedWithin = millis(1'000), triedWithinEach = millis(650);
+constexpr Nanoseconds triedWithin = milliseconds(1'000), triedWithinEach = milliseconds(650);
 // A longer time between two ticks was no search: the process stood still.
-constexpr Nanos tickMost = millis(300);
+constexpr Nanoseconds tickMost = milliseconds(300);
 }  // namespace
 
-void ParentSearch::linked(const std::string& parent, Nanos now) {
+void ParentSearch::linked(const std::string& parent, Nanoseconds now) {
     // A parent that was found to give no lease has been tried in this search, from when it was linked.
     if (withoutLease(now)) triedAt_[parent_] = linkedAt_;
     if (parent.empty()) nextDialAt_ = std::min(nextDialAt_, now + dialEvery);
@@ -32,7 +32,7 @@
     if (!parent.empty()) triedAt_[parent] = now;
 }
 
-void ParentSearch::granted(Nanos now) {
+void ParentSearch::granted(Nanoseconds now) {
     // Where all failed, it was this process that was cut off: that tells nothing of the others.
     const bool searched = searchedFor_ > 0 && !searched_.empty();
     if (searched && std::all_of(searched_.begin(), searched_.end(), [&](const auto& each) {
@@ -46,18 +46,18 @@
     backoffs_.erase(parent_);
 }
 
-void ParentSearch::failed(const std::string& address, Nanos now) {
+void ParentSearch::failed(const std::string& address, Nanoseconds now) {
     Backoff& backoff = backoffs_[address];
     backoff.length = std::clamp(2 * backoff.length, shortestBackoff, longestBackoff);
     backoff.until = now + backoff.length;
 }
 
-bool ParentSearch::backedOff(const std::string& address, Nanos now) const {
+bool ParentSearch::backedOff(const std::string& address, Nanoseconds now) const {
     const auto at = backoffs_.find(address);
     return at != backoffs_.end() && now < at->second.until;
 }
 
-ParentSearch::Addresses ParentSearch::ranked(const Addresses& preferred, Nanos now) const {
+ParentSearch::Addresses ParentSearch::ranked(const Addresses& preferred, Nanoseconds now) const {
     Addresses all = preferred;
     std::stable_partition(all.begin(), all.end(), [&](const auto& each) { return !backedOff(each, now); });
     return all;
@@ -69,11 +69,11 @@
     return std::find(preferred.begin(), parent, address) != parent;
 }
 
-bool ParentSearch::improves(const std::string& address, const Addresses& preferred, Nanos now) const {
+bool ParentSearch::improves(const std::string& address, const Addresses& preferred, Nanoseconds now) const {
     return searching(now) || better(address, preferred);
 }
 
-std::optional<std::string> ParentSearch::wanted(const Addresses& preferred, Nanos now) const {
+std::optional<std::string> ParentSearch::wanted(const Addresses& preferred, Nanoseconds now) const {
     if (!searching(now)) {
         const auto at = std::find_if(preferred.begin(), preferred.end(),
                                      [&](const auto& each) { return !backedOff(each, now); });
@@ -83,7 +83,7 @@
     // The one whose last try is longest ago; of those not tried yet, one without a back-off.
     const auto rank = [&](const std::string& address) {
         const auto tried = triedAt_.find(address);
-        return std::tuple(tried == triedAt_.end() ? Nanos(0) : tried->second, backedOff(address, now));
+        return std::tuple(tried == triedAt_.end() ? Nanoseconds(0) : tried->second, backedOff(address, now));
     };
     std::optional<std::string> first;
     for (const std::string& each : preferred)
@@ -91,12 +91,12 @@
     return first;
 }
 
-bool ParentSearch::mayDial(Nanos now) const {
+bool ParentSearch::mayDial(Nanoseconds now) const {
     if (searching(now)) return now >= nextDialAt_ && dialsUnderWay_ < dialsMost;
     return now >= nextBetterAt_ && dialsUnderWay_ == 0 && now - linkedAt_ > betterEvery;
 }
 
-std::optional<std::string> ParentSearch::dial(const Addresses& preferred, Nanos now) {
+std::optional<std::string> ParentSearch::dial(const Addresses& preferred, Nanoseconds now) {
     if (!mayDial(now)) return std::nullopt;
     nextBetterAt_ = now + betterEvery;
     std::optional<std::string> address = wanted(preferred, now);
@@ -114,17 +114,17 @@
     }));
 }
 
-std::optional<std::string> ParentSearch::tick(const Addresses& preferred, Nanos now) {
-    const Nanos passed = std::min(now - std::exchange(tickedAt_, now), tickMost);
+std::optional<std::string> ParentSearch::tick(const Addresses& preferred, Nanoseconds now) {
+    const Nanoseconds passed = std::min(now - std::exchange(tickedAt_, now), tickMost);
     if (preferred != searched_) {
         searched_ = preferred;
         searchedFor_ = 0;
     }
     searchedFor_ += passed;
-    const Nanos bound = triedWithin + static_cast<Nanos>(preferred.size()) * triedWithinEach;
+    const Nanoseconds bound = triedWithin + static_cast<Nanoseconds>(preferred.size()) * triedWithinEach;
     const std::size_t left = searchedFor_ <= bound ? 0 : untried(preferred);
     return allTried_.check(left == 0, std::to_string(left) + " of " + std::to_string(preferred.size()) +
-                                          " not tried in " + std::to_string(searchedFor_ / millis(1)) +
+                                          " not tried in " + std::to_string(searchedFor_ / milliseconds(1)) +
                                           " ms");
 }
 
--- a/src/agent/parent_search.hpp
+++ b/src/agent/parent_search.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "board/invariant.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::agent {
 
@@ -19,49 +19,51 @@
 public:
     using Addresses = std::vector<std::string>;
     // A parent that has given no lease for so long is cut off from the core, or from here.
-    static constexpr Nanos leaseMissingAfter = millis(900);
+    static constexpr Nanoseconds leaseMissingAfter = milliseconds(900);
 
     // The link upwards is that of `parent` from now on; empty: there is none.
-    void linked(const std::string& parent, Nanos now);
+    void linked(const std::string& parent, Nanoseconds now);
     // The parent gave a lease.
-    void granted(Nanos now);
+    void granted(Nanoseconds now);
     // No link could be had to the address, or no lease from it: a back-off, which doubles.
-    void failed(const std::string& address, Nanos now);
+    void failed(const std::string& address, Nanoseconds now);
     const std::string& parent() const { return parent_; }
     // Whether there is no parent that gives leases.
-    bool searching(Nanos now) const { return parent_.empty() || withoutLease(now); }
-    bool withoutLease(Nanos now) const { return !parent_.empty() && now - grantedAt_ > leaseMissingAfter; }
+    bool searching(Nanoseconds now) const { return parent_.empty() || withoutLease(now); }
+    bool withoutLease(Nanoseconds now) const {
+        return !parent_.empty() && now - grantedAt_ > leaseMissingAfter;
+    }
     // Whether the address is worth more than the present parent: it gives no lease, or is less preferred.
-    bool improves(const std::string& address, const Addresses& preferred, Nanos now) const;
-    bool backedOff(const std::string& address, Nanos now) const;
+    bool improves(const std::string& address, const Addresses& preferred, Nanoseconds now) const;
+    bool backedOff(const std::string& address, Nanoseconds now) const;
     // The addresses, those without a back-off first.
-    Addresses ranked(const Addresses& preferred, Nanos now) const;
+    Addresses ranked(const Addresses& preferred, Nanoseconds now) const;
     // What is to be tried beside the present parent, or in its place.
-    std::optional<std::string> wanted(const Addresses& preferred, Nanos now) const;
+    std::optional<std::string> wanted(const Addresses& preferred, Nanoseconds now) const;
     // Whether it is time for a dial; else the addresses need not be looked up.
-    bool mayDial(Nanos now) const;
+    bool mayDial(Nanoseconds now) const;
     // The address to dial now, if any; counts as under way until dialEnded().
-    std::optional<std::string> dial(const Addresses& preferred, Nanos now);
+    std::optional<std::string> dial(const Addresses& preferred, Nanoseconds now);
     void dialEnded() { --dialsUnderWay_; }
     // Time passes during a search. Returns a line for the log where the invariant below is broken.
-    std::optional<std::string> tick(const Addresses& preferred, Nanos now);
+    std::optional<std::string> tick(const Addresses& preferred, Nanoseconds now);
     // An agent without a lease has tried every other parent within a time that their number gives.
     const board::Invariant& allTried() const { return allTried_; }
 
 private:
     struct Backoff {
-        Nanos until = 0, length = 0;
+        Nanoseconds until = 0, length = 0;
     };
     bool better(const std::string& address, const Addresses& preferred) const;
     std::size_t untried(const Addresses& preferred) const;
 
     std::string parent_;
-    Nanos linkedAt_ = 0, grantedAt_ = 0, nextDialAt_ = 0, nextBetterAt_ = 0;
+    Nanoseconds linkedAt_ = 0, grantedAt_ = 0, nextDialAt_ = 0, nextBetterAt_ = 0;
     int dialsUnderWay_ = 0;
     std::map<std::string, Backoff> backoffs_;
-    std::map<std::string, Nanos> triedAt_;  // since the last lease
+    std::map<std::string, Nanoseconds> triedAt_;  // since the last lease
     // How long a search has lasted, as ticks saw it pass, over one list of addresses.
-    Nanos searchedFor_ = 0, tickedAt_ = 0;
+    Nanoseconds searchedFor_ = 0, tickedAt_ = 0;
     Addresses searched_;
     board::Invariant allTried_{"an agent without a lease tries every parent in time"};
 };
--- a/src/agent/program.cpp
+++ b/src/agent/program.cpp
@@ -62,9 +62,9 @@
         });
     }
     void tick() {
-        const Nanos now = transport::steadyNow();
+        const Nanoseconds now = transport::steadyNow();
         // The proxy beside it may end by the same signal, and needs the news until it has.
-        if (ending_ && (!agent_.feeds() || now - ending_ > millis(settings_.grace_ms - 200)))
+        if (ending_ && (!agent_.feeds() || now - ending_ > milliseconds(settings_.grace_ms - 200)))
             return loop_.stop();
         if (const auto parent = agent_.dial(now)) dial(*parent);
         agent_.tick(now);
@@ -138,7 +138,7 @@
     std::map<int, std::shared_ptr<Link>> links_;
     transport::Traffic traffic_;
     int lastLink_ = 0;
-    Nanos ending_ = 0;
+    Nanoseconds ending_ = 0;
     transport::Listener forAgents_;
     std::optional<transport::Listener> forProxy_;
 };
--- a/src/board/contact_watch.cpp
+++ b/src/board/contact_watch.cpp
@@ -5,10 +5,10 @@
 namespace granitereel::board {
 
 namespace {
-constexpr Nanos nanosInMilli = 1'000'000;
+constexpr Nanoseconds nanosInMilli = 1'000'000;
 }  // namespace
 
-std::optional<std::string> ContactWatch::seen(Nanos contactUntil, Nanos now) {
+std::optional<std::string> ContactWatch::seen(Nanoseconds contactUntil, Nanoseconds now) {
     if (now < contactUntil) return regained(now);
     if (!hadContact_) return std::nullopt;
     if (!lost_) {
@@ -24,10 +24,10 @@
            " ms: the configuration may be behind";
 }
 
-std::optional<std::string> ContactWatch::regained(Nanos now) {
+std::optional<std::string> ContactWatch::regained(Nanoseconds now) {
     hadContact_ = true;
     if (!lost_) return std::nullopt;
-    const Nanos away = now - lostAt_;
+    const Nanoseconds away = now - lostAt_;
     lost_ = told_ = false;
     figures_.longest = std::max(figures_.longest, away);
     return "contact with control again after " + std::to_string(away / nanosInMilli) + " ms";
--- a/src/board/contact_watch.hpp
+++ b/src/board/contact_watch.hpp
@@ -7,32 +7,32 @@
 #include <optional>
 #include <string>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::board {
 
 class ContactWatch {
 public:
     // Without a lease for longer than this, changes may have come into force elsewhere.
-    static constexpr Nanos behindAfter = millis(2'000);
+    static constexpr Nanoseconds behindAfter = milliseconds(2'000);
 
     struct Figures {
         std::uint64_t losses = 0;      // contact was lost
         std::uint64_t longLosses = 0;  // for longer than behindAfter
-        Nanos longest = 0;             // the longest that has ended
+        Nanoseconds longest = 0;       // the longest that has ended
     };
 
     // `contactUntil`: the end of the lease. To be called often; returns a line where there is news.
-    std::optional<std::string> seen(Nanos contactUntil, Nanos now);
+    std::optional<std::string> seen(Nanoseconds contactUntil, Nanoseconds now);
     // 0 while there is contact, and before the first.
-    Nanos lostFor(Nanos now) const { return lost_ ? now - lostAt_ : 0; }
+    Nanoseconds lostFor(Nanoseconds now) const { return lost_ ? now - lostAt_ : 0; }
     const Figures& figures() const { return figures_; }
 
 private:
-    std::optional<std::string> regained(Nanos now);
+    std::optional<std::string> regained(Nanoseconds now);
 
     bool hadContact_ = false, lost_ = false, told_ = false;
-    Nanos lostAt_ = 0;
+    Nanoseconds lostAt_ = 0;
     Figures figures_;
 };
 
--- a/src/board/gossip.cpp
+++ b/src/board/gossip.cpp
@@ -12,15 +12,15 @@
 // An exchange in which nothing has come for so long is begun again: above the time of a piece on a slow link.
 // An accepted link on which nothing has come for so long, though members ask for leases five times a second,
 // is no way to its peer any more.
-constexpr Nanos silentAfter = millis(2'000);
-constexpr Nanos exchangeAgain = millis(3'000);
+constexpr Nanoseconds silentAfter = milliseconds(2'000);
+constexpr Nanoseconds exchangeAgain = milliseconds(3'000);
 // How often tombstones are looked through.
-constexpr Nanos sweepEvery = millis(1'000);
+constexpr Nanoseconds sweepEvery = milliseconds(1'000);
 // Up to so many records the dialler lists its names at once, which saves a turn.
 constexpr std::size_t smallBoard = 32;
 // Names in one piece of an inventory or a want: some 40 bytes each.
 constexpr std::size_t namesInPiece = pieceBytes / 40;
-constexpr Nanos nanosInMilli = 1'000'000;
+constexpr Nanoseconds nanosInMilli = 1'000'000;
 
 std::uint64_t hashOfBody(const Json& body) {
     const std::string text = body.dump();
@@ -30,7 +30,7 @@
 
 // ---- time -----------------------------------------------------------------------------------------
 
-void Gossip::advance(Nanos now, bool inContact) {
+void Gossip::advance(Nanoseconds now, bool inContact) {
     now_ = now;
     const bool regained = !std::exchange(inContact_, inContact) && inContact;
     if (lifetimes_.passed(now, inContact)) doubtAll();
@@ -174,7 +174,7 @@
     if (at != links_.end() && at->second.side == Side::dialler) beginExchange(number);
 }
 
-Nanos Gossip::unansweredFor(int number) const {
+Nanoseconds Gossip::unansweredFor(int number) const {
     const auto at = links_.find(number);
     return at == links_.end() || complete(number) ? 0 : now_ - at->second.answeredAt;
 }
@@ -351,7 +351,7 @@
     return apply(name, std::move(record), nullptr, 0, from);
 }
 
-bool Gossip::apply(const std::string& name, Record record, const Json* patch, Nanos age, int from) {
+bool Gossip::apply(const std::string& name, Record record, const Json* patch, Nanoseconds age, int from) {
     const Record* known = board_.find(name);
     const Record before = known ? *known : Record();
     if (known && record.version == known->version) lifetimes_.confirm(name);
@@ -429,7 +429,7 @@
 
 void Gossip::takeUpdate(int number, const RecordUpdate& update) {
     const Record* known = board_.find(update.name);
-    const Nanos age = update.age_ms * nanosInMilli;
+    const Nanoseconds age = update.age_ms * nanosInMilli;
     if (update.unconfirmed) {
         if (inContact_ || known || owned_.count(update.name)) return;
         lifetimes_.doubt(update.name);
--- a/src/board/gossip.hpp
+++ b/src/board/gossip.hpp
@@ -16,7 +16,7 @@
 #include "board/lifetimes.hpp"
 #include "board/messages.hpp"
 #include "board/renewals.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::board {
 
@@ -36,7 +36,7 @@
     const Board& board() const { return board_; }
     // Time passes. `inContact`: this process holds a lease of control. To be called before what happens at
     // `now` is handled, and now and then. Ends tombstones, and begins exchanges again that came to nothing.
-    void advance(Nanos now, bool inContact);
+    void advance(Nanoseconds now, bool inContact);
     // `peer`: the process at the other end, where two may hold links to each other both ways; else empty.
     // Changes go to a peer over the accepted link, on which it asks for leases, and over the dialled one only
     // while there is no other; and never back to the peer that told them.
@@ -47,7 +47,7 @@
     // Whether all that the peer of this link held when it sent what comes next is on this board.
     bool complete(int link) const;
     // For how long an exchange or a question that is open has brought nothing; 0: none is open.
-    Nanos unansweredFor(int link) const;
+    Nanoseconds unansweredFor(int link) const;
     // What the peer holds is asked for anew over this link, which the caller found to lack some of it.
     void exchangeAnew(int link);
     // Whether this record was missed for so long that it may be gone; who has fresh word of it puts it anew.
@@ -74,8 +74,8 @@
         std::uint64_t exchange = 0;
         std::map<std::string, Version> listed;  // of an inventory in pieces
         std::map<std::uint64_t, std::set<std::string>> wants;
-        Nanos answeredAt = 0;  // something of the exchange, or its beginning
-        Nanos aliveAt = 0;     // any message
+        Nanoseconds answeredAt = 0;  // something of the exchange, or its beginning
+        Nanoseconds aliveAt = 0;     // any message
     };
 
     void beginExchange(int link);
@@ -87,7 +87,7 @@
     void take(int link, const Want& want);
     void takeUpdate(int link, const RecordUpdate& update);
     void answerInventory(int link, const Inventory& last);
-    bool apply(const std::string& name, Record record, const Json* patch, Nanos age, int from);
+    bool apply(const std::string& name, Record record, const Json* patch, Nanoseconds age, int from);
     void tell(const RecordUpdate& update, int from);
     void sendInventory(int link, std::uint64_t exchange, std::uint64_t bucketCount,
                        const std::vector<std::uint64_t>& buckets);
@@ -116,7 +116,7 @@
     std::map<int, Link> links_;
     std::map<std::string, Json> owned_;
     std::uint64_t lastExchange_ = 0, lastWant_ = 0;
-    Nanos now_ = 0, sweptAt_ = 0, regainedAt_ = 0, askedAgainAt_ = 0;
+    Nanoseconds now_ = 0, sweptAt_ = 0, regainedAt_ = 0, askedAgainAt_ = 0;
     bool inContact_ = false;
 };
 
--- a/src/board/lease.cpp
+++ b/src/board/lease.cpp
@@ -8,7 +8,7 @@
 namespace {
 // Questions that may be open at once: more than a lease's time holds of them.
 constexpr std::size_t openMost = 8;
-constexpr Nanos nanosInMicro = 1'000;
+constexpr Nanoseconds nanosInMicro = 1'000;
 }  // namespace
 
 std::uint64_t configurationVersion(const Board& board) {
@@ -16,16 +16,16 @@
     return record ? record->version.major : 0;
 }
 
-std::uint64_t LeaseQuestions::ask(Nanos now) {
+std::uint64_t LeaseQuestions::ask(Nanoseconds now) {
     sentAt_[++last_] = now;
     if (sentAt_.size() > openMost) sentAt_.erase(sentAt_.begin());
     return last_;
 }
 
-std::optional<Nanos> LeaseQuestions::answered(std::uint64_t number) {
+std::optional<Nanoseconds> LeaseQuestions::answered(std::uint64_t number) {
     const auto at = sentAt_.find(number);
     if (at == sentAt_.end()) return {};
-    const Nanos sent = at->second;
+    const Nanoseconds sent = at->second;
     sentAt_.erase(sentAt_.begin(), std::next(at));
     return sent;
 }
@@ -51,9 +51,9 @@
     return reply;
 }
 
-void HeldLease::granted(Nanos asked, const LeaseReply& reply, bool counts) {
+void HeldLease::granted(Nanoseconds asked, const LeaseReply& reply, bool counts) {
     // Counted from the question, which is before the grant.
-    const Nanos until = counts && reply.left > 0 ? asked + reply.left : 0;
+    const Nanoseconds until = counts && reply.left > 0 ? asked + reply.left : 0;
     if (until > until_) {
         until_ = until;
         unsettled_ = reply.unsettled;
--- a/src/board/lease.hpp
+++ b/src/board/lease.hpp
@@ -9,13 +9,13 @@
 #include <string>
 
 #include "board/board.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::board {
 
 // For so long behind the end of its last lease a process may rest on what the records named then, where
 // control makes up for what they lack since (docs/control-safety/promotion.md).
-constexpr Nanos recordsRestedOnFor = millis(20'000);
+constexpr Nanoseconds recordsRestedOnFor = milliseconds(20'000);
 
 // The version of the configuration on a board; 0: none.
 std::uint64_t configurationVersion(const Board& board);
@@ -36,7 +36,7 @@
 struct LeaseReply {
     static constexpr const char* kind = "lease";
     std::uint64_t number = 0;
-    Nanos left = 0;  // in whole microseconds on the wire; 0 or less: none
+    Nanoseconds left = 0;  // in whole microseconds on the wire; 0 or less: none
     std::map<std::string, std::uint64_t> unsettled;
     // The version of the configuration that the giver held when it answered; 0: none. Who is complete towards
     // the giver holds it or a later one.
@@ -50,15 +50,15 @@
 class LeaseQuestions {
 public:
     // The number of a question that is sent at `now`.
-    std::uint64_t ask(Nanos now);
+    std::uint64_t ask(Nanoseconds now);
     // When the question was sent; none: it is not open.
-    std::optional<Nanos> answered(std::uint64_t number);
+    std::optional<Nanoseconds> answered(std::uint64_t number);
     // The link is gone or another: no answer is awaited any more.
     void forget() { sentAt_.clear(); }
 
 private:
     std::uint64_t last_ = 0;
-    std::map<std::uint64_t, Nanos> sentAt_;
+    std::map<std::uint64_t, Nanoseconds> sentAt_;
 };
 
 // A lease and the services whose lead was known to be changing when it was given belong together: the voters
@@ -67,17 +67,17 @@
 public:
     // The answer to a question sent at `asked`. `counts`: whether all is here that the giver held; else what
     // it says of unsettled leads is added, and its time does not count.
-    void granted(Nanos asked, const LeaseReply& reply, bool counts);
-    bool valid(Nanos now) const { return now < until_; }
+    void granted(Nanoseconds asked, const LeaseReply& reply, bool counts);
+    bool valid(Nanoseconds now) const { return now < until_; }
     // Nanoseconds, at least 0.
-    Nanos left(Nanos now) const { return until_ > now ? until_ - now : 0; }
-    Nanos until() const { return until_; }
+    Nanoseconds left(Nanoseconds now) const { return until_ > now ? until_ - now : 0; }
+    Nanoseconds until() const { return until_; }
     // Whether the record of a service's lead with this sequence number is no longer in doubt.
     bool settles(const std::string& service, std::uint64_t sequence) const;
     const std::map<std::string, std::uint64_t>& unsettled() const { return unsettled_; }
 
 private:
-    Nanos until_ = 0;
+    Nanoseconds until_ = 0;
     std::map<std::string, std::uint64_t> unsettled_;
 };
 
--- a/src/board/lifetimes.cpp
+++ b/src/board/lifetimes.cpp
@@ -8,16 +8,16 @@
     return name.starts_with("store/") || name.starts_with("front/") || name.starts_with("member/");
 }
 
-void Lifetimes::buried(const std::string& name, Nanos now, Nanos age) {
+void Lifetimes::buried(const std::string& name, Nanoseconds now, Nanoseconds age) {
     buriedAt_[name] = now - age;
 }
 
-Nanos Lifetimes::age(const std::string& name, Nanos now) const {
+Nanoseconds Lifetimes::age(const std::string& name, Nanoseconds now) const {
     const auto at = buriedAt_.find(name);
-    return at == buriedAt_.end() ? 0 : std::max<Nanos>(0, now - at->second);
+    return at == buriedAt_.end() ? 0 : std::max<Nanoseconds>(0, now - at->second);
 }
 
-std::vector<std::string> Lifetimes::takeEnded(Nanos now) {
+std::vector<std::string> Lifetimes::takeEnded(Nanoseconds now) {
     std::vector<std::string> ended;
     for (const auto& [name, since] : buriedAt_)
         if (now - since >= tombstoneLife) ended.push_back(name);
@@ -25,7 +25,7 @@
     return ended;
 }
 
-bool Lifetimes::passed(Nanos now, bool inContact) {
+bool Lifetimes::passed(Nanoseconds now, bool inContact) {
     inContact_ = inContact;
     if (inContact) {
         contactAt_ = now;
@@ -37,13 +37,13 @@
     return true;
 }
 
-void Lifetimes::peerContact(Nanos now, Nanos age) {
+void Lifetimes::peerContact(Nanoseconds now, Nanoseconds age) {
     if (inContact_) return;
     contactAt_ = std::min(contactAt_.value_or(now), now - age);
 }
 
-Nanos Lifetimes::contactAge(Nanos now) const {
-    return contactAt_ ? std::max<Nanos>(0, now - *contactAt_) : 0;
+Nanoseconds Lifetimes::contactAge(Nanoseconds now) const {
+    return contactAt_ ? std::max<Nanoseconds>(0, now - *contactAt_) : 0;
 }
 
 }  // namespace granitereel::board
--- a/src/board/lifetimes.hpp
+++ b/src/board/lifetimes.hpp
@@ -12,16 +12,16 @@
 #include <vector>
 
 #include "board/board.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::board {
 
-constexpr Nanos tombstoneLife = millis(600'000);
+constexpr Nanoseconds tombstoneLife = milliseconds(600'000);
 // A record may pass through several processes without contact, each of which counts from its own last
 // contact: so a part of the life, by which three such steps are borne.
-constexpr Nanos isolationLimit = tombstoneLife / 4;
+constexpr Nanoseconds isolationLimit = tombstoneLife / 4;
 // How long after contact came back unconfirmed records wait to be confirmed: several heartbeats of stores.
-constexpr Nanos confirmedWithin = millis(10'000);
+constexpr Nanoseconds confirmedWithin = milliseconds(10'000);
 
 class Lifetimes {
 public:
@@ -29,27 +29,27 @@
     static bool mayEnd(const std::string& name);
 
     // A tombstone of so much age came or was made at `now`.
-    void buried(const std::string& name, Nanos now, Nanos age);
+    void buried(const std::string& name, Nanoseconds now, Nanoseconds age);
     void unburied(const std::string& name) { buriedAt_.erase(name); }
-    Nanos age(const std::string& name, Nanos now) const;
+    Nanoseconds age(const std::string& name, Nanoseconds now) const;
     // Takes out the names of tombstones that have ended.
-    std::vector<std::string> takeEnded(Nanos now);
+    std::vector<std::string> takeEnded(Nanoseconds now);
 
     // Time passes; `inContact`: this process holds a lease. Returns whether the process has just been without
     // contact for longer than the limit.
-    bool passed(Nanos now, bool inContact);
+    bool passed(Nanoseconds now, bool inContact);
     // A peer said how long ago it was in contact: what comes from there is no younger.
-    void peerContact(Nanos now, Nanos age);
-    Nanos contactAge(Nanos now) const;
+    void peerContact(Nanoseconds now, Nanoseconds age);
+    Nanoseconds contactAge(Nanoseconds now) const;
 
     void doubt(const std::string& name) { unconfirmed_.insert(name); }
     void confirm(const std::string& name) { unconfirmed_.erase(name); }
     const std::set<std::string>& unconfirmed() const { return unconfirmed_; }
 
 private:
-    std::map<std::string, Nanos> buriedAt_;
+    std::map<std::string, Nanoseconds> buriedAt_;
     std::set<std::string> unconfirmed_;
-    std::optional<Nanos> contactAt_;  // none: nothing was heard from anyone yet
+    std::optional<Nanoseconds> contactAt_;  // none: nothing was heard from anyone yet
     bool isolated_ = false, inContact_ = false;
 };
 
--- a/src/control/call_router.cpp
+++ b/src/control/call_router.cpp
@@ -13,7 +13,7 @@
 }
 
 void CallRouter::call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-                      const std::string& body, Nanos now) {
+                      const std::string& body, Nanoseconds now) {
     const std::string place = path.empty() ? "" : path[0];
     const std::string what = method + " " + place + (path.size() > 1 ? "/ID" : "");
     const bool known = place == "config" || place == "stores" || place == "state";
@@ -24,19 +24,24 @@
         if (what == "DELETE stores/ID")
             return whenLeased(
                 call,
-                [this, call, id = path[1]](Nanos then, Nanos until) { stores_.left(call, id, until, then); },
+                [this, call, id = path[1]](Nanoseconds then, Nanoseconds until) {
+                    stores_.left(call, id, until, then);
+                },
                 now);
         if (what == "PUT config") return configSent(call, body, now);
         if (what == "GET config")
             return whenLeased(
-                call, [this, call](Nanos then, Nanos until) { operators_.get(call, then, until); }, now);
+                call,
+                [this, call](Nanoseconds then, Nanoseconds until) { operators_.get(call, then, until); },
+                now);
         if (what == "GET state") return answer(call, Kind::taken, means_.stateText(now));
     }
     answer(call, known ? Kind::notAllowed : Kind::notFound);
 }
 
 // What is invalid is so for any member; all else waits for contact with a majority.
-void CallRouter::storeCalled(std::uint64_t call, const std::string& id, const std::string& body, Nanos now) {
+void CallRouter::storeCalled(std::uint64_t call, const std::string& id, const std::string& body,
+                             Nanoseconds now) {
     StoreCall said;
     try {
         said = StoreCall::fromJson(id, body);
@@ -44,10 +49,12 @@
         return answer(call, Kind::notSound, R"({"fault":"not a store's call"})");
     }
     whenLeased(
-        call, [this, call, said](Nanos then, Nanos until) { stores_.called(call, said, until, then); }, now);
+        call,
+        [this, call, said](Nanoseconds then, Nanoseconds until) { stores_.called(call, said, until, then); },
+        now);
 }
 
-void CallRouter::configSent(std::uint64_t call, const std::string& body, Nanos now) {
+void CallRouter::configSent(std::uint64_t call, const std::string& body, Nanoseconds now) {
     Json sent;
     try {
         configuration::read(body);
@@ -58,21 +65,22 @@
     if (means_.diskRefuses()) return answer(call, Kind::unready);
     whenLeased(
         call,
-        [this, call, sent = std::move(sent)](Nanos then, Nanos until) {
+        [this, call, sent = std::move(sent)](Nanoseconds then, Nanoseconds until) {
             operators_.put(call, sent, then, until);
         },
         now);
 }
 
-void CallRouter::whenLeased(std::uint64_t call, std::function<void(Nanos, Nanos)> run, Nanos now) {
+void CallRouter::whenLeased(std::uint64_t call, std::function<void(Nanoseconds, Nanoseconds)> run,
+                            Nanoseconds now) {
     const OpenCall& open = open_.at(call);
     if (means_.leased(now)) return run(now, open.until);
     waiting_.add(
-        call, [run = std::move(run), until = open.until](Nanos then) { run(then, until); }, now);
+        call, [run = std::move(run), until = open.until](Nanoseconds then) { run(then, until); }, now);
 }
 
 // What failed for want of a majority is sent on to a member that has one, where one is known.
-void CallRouter::answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanos now) {
+void CallRouter::answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanoseconds now) {
     const bool failed = kind == Kind::noMajority || kind == Kind::unready;
     if (!failed) return answer(call, kind, std::move(body));
     const std::optional<std::string> member = means_.leased(now) ? std::nullopt : contacts_.best(now);
@@ -81,7 +89,7 @@
     open_.erase(call);
 }
 
-void CallRouter::serveWaiting(Nanos now) {
+void CallRouter::serveWaiting(Nanoseconds now) {
     if (means_.leased(now))
         for (const WaitingCalls::Call& each : waiting_.takeAll()) each.run(now);
     for (const WaitingCalls::Call& each : waiting_.takeOverdue(now))
--- a/src/control/call_router.hpp
+++ b/src/control/call_router.hpp
@@ -13,7 +13,7 @@
 #include "control/operator_calls.hpp"
 #include "control/outputs.hpp"
 #include "control/store_registry.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -22,13 +22,13 @@
     // What is needed of the member.
     struct Means {
         virtual ~Means() = default;
-        virtual bool leased(Nanos now) const = 0;
+        virtual bool leased(Nanoseconds now) const = 0;
         // Whether the member was told to end, and takes no more calls.
         virtual bool leaving() const = 0;
         // Whether the member's disk takes no bytes.
         virtual bool diskRefuses() const = 0;
         // The body of GET /state.
-        virtual std::string stateText(Nanos now) const = 0;
+        virtual std::string stateText(Nanoseconds now) const = 0;
         virtual void toCaller(ToCaller answer) = 0;
     };
     CallRouter(Means& means, StoreRegistry& stores, OperatorCalls& operators)
@@ -36,27 +36,28 @@
 
     // A call: the path by segments. Every call is answered once, within `answeredWithin` and a tick.
     void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-              const std::string& body, Nanos now);
+              const std::string& body, Nanoseconds now);
     // The final answer, or the way to a member that has a majority where this one hasn't.
-    void answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanos now);
+    void answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanoseconds now);
     // Runs what waited for the lease, and ends what waited for too long.
-    void serveWaiting(Nanos now);
+    void serveWaiting(Nanoseconds now);
     // Whether no call is under way.
     bool idle() const { return open_.empty(); }
     Contacts& contacts() { return contacts_; }
 
     // Callers wait a second; with a tick of 50 ms and the way this is within it.
-    static constexpr Nanos answeredWithin = millis(850);
+    static constexpr Nanoseconds answeredWithin = milliseconds(850);
 
 private:
     struct OpenCall {
-        std::string path;  // as it was called
-        Nanos until = 0;   // the latest moment of its answer
+        std::string path;       // as it was called
+        Nanoseconds until = 0;  // the latest moment of its answer
     };
     void answer(std::uint64_t call, Kind kind, std::string body = {});
-    void storeCalled(std::uint64_t call, const std::string& id, const std::string& body, Nanos now);
-    void configSent(std::uint64_t call, const std::string& body, Nanos now);
-    void whenLeased(std::uint64_t call, std::function<void(Nanos now, Nanos until)> run, Nanos now);
+    void storeCalled(std::uint64_t call, const std::string& id, const std::string& body, Nanoseconds now);
+    void configSent(std::uint64_t call, const std::string& body, Nanoseconds now);
+    void whenLeased(std::uint64_t call, std::function<void(Nanoseconds now, Nanoseconds until)> run,
+                    Nanoseconds now);
 
     Means& means_;
     StoreRegistry& stores_;
--- a/src/control/contact.cpp
+++ b/src/control/contact.cpp
@@ -5,7 +5,7 @@
 
 namespace granitereel::control {
 
-std::optional<std::string> Contacts::best(Nanos now) const {
+std::optional<std::string> Contacts::best(Nanoseconds now) const {
     const auto at = std::max_element(until_.begin(), until_.end(), [](const auto& one, const auto& other) {
         return one.second < other.second;
     });
@@ -13,11 +13,11 @@
     return at->first;
 }
 
-void WaitingCalls::add(std::uint64_t number, std::function<void(Nanos)> run, Nanos now) {
+void WaitingCalls::add(std::uint64_t number, std::function<void(Nanoseconds)> run, Nanoseconds now) {
     calls_.push_back({number, std::move(run), now + waits});
 }
 
-std::vector<WaitingCalls::Call> WaitingCalls::takeOverdue(Nanos now) {
+std::vector<WaitingCalls::Call> WaitingCalls::takeOverdue(Nanoseconds now) {
     const auto first = std::stable_partition(calls_.begin(), calls_.end(),
                                              [now](const Call& call) { return now < call.until; });
     std::vector<Call> over(std::make_move_iterator(first), std::make_move_iterator(calls_.end()));
--- a/src/control/contact.hpp
+++ b/src/control/contact.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -18,13 +18,13 @@
 class Contacts {
 public:
     // `left`: of the member's lease, when it said so.
-    void heard(const std::string& member, Nanos left, Nanos now) { until_[member] = now + left; }
+    void heard(const std::string& member, Nanoseconds left, Nanoseconds now) { until_[member] = now + left; }
     void lost(const std::string& member) { until_.erase(member); }
     // The member whose lease lasts longest, if any still does.
-    std::optional<std::string> best(Nanos now) const;
+    std::optional<std::string> best(Nanoseconds now) const;
 
 private:
-    std::map<std::string, Nanos> until_;
+    std::map<std::string, Nanoseconds> until_;
 };
 
 // Calls that came while this member had no lease. They are short of it for a moment only after a start or a
@@ -33,17 +33,17 @@
 public:
     struct Call {
         std::uint64_t number = 0;
-        std::function<void(Nanos now)> run;
-        Nanos until = 0;
+        std::function<void(Nanoseconds now)> run;
+        Nanoseconds until = 0;
     };
     // Longer than a round of the lease and the way there and back, well under the second that callers wait.
-    static constexpr Nanos waits = millis(300);
+    static constexpr Nanoseconds waits = milliseconds(300);
 
-    void add(std::uint64_t number, std::function<void(Nanos)> run, Nanos now);
+    void add(std::uint64_t number, std::function<void(Nanoseconds)> run, Nanoseconds now);
     // All of them, once there is a lease.
     std::vector<Call> takeAll() { return std::exchange(calls_, {}); }
     // Those that have waited long enough.
-    std::vector<Call> takeOverdue(Nanos now);
+    std::vector<Call> takeOverdue(Nanoseconds now);
 
 private:
     std::vector<Call> calls_;
--- a/src/control/departure.cpp
+++ b/src/control/departure.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 // Asked again, as a link may have been made anew.
-constexpr Nanos askAgain = millis(300);
+constexpr Nanoseconds askAgain = milliseconds(300);
 }  // namespace
 
 Json FlushRequest::toJson() const {
@@ -23,7 +23,7 @@
     return {message.at("number").get<std::uint64_t>()};
 }
 
-void Departure::begin(Nanos within, Nanos now) {
+void Departure::begin(Nanoseconds within, Nanoseconds now) {
     if (std::exchange(begun_, true)) return;
     until_ = now + within;
 }
@@ -33,7 +33,7 @@
 }
 
 void Departure::proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send,
-                        Nanos now) {
+                        Nanoseconds now) {
     if (!begun_ || over_) return;
     over_ = now >= until_;
     if (!std::exchange(flushing_, handedOver) && flushing_) {
--- a/src/control/departure.hpp
+++ b/src/control/departure.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "control/outputs.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -29,20 +29,21 @@
     using Send = std::function<void(const std::string& voter, Json message)>;
 
     // `within`: it ends by then, whatever is left.
-    void begin(Nanos within, Nanos now);
+    void begin(Nanoseconds within, Nanoseconds now);
     bool begun() const { return begun_; }
     bool over() const { return over_; }
     void heard(const std::string& voter, const FlushReply& reply);
     // `handedOver`: no call is in hand, and the vote has gone or stays. What was sent until then is flushed
     // to the voters in reach; where there is more to hand over after all, it is flushed again.
-    void proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send, Nanos now);
+    void proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send,
+                 Nanoseconds now);
 
 private:
     bool begun_ = false, over_ = false;
     bool flushing_ = false;
     std::set<std::string> flushed_;
     std::uint64_t number_ = 0, firstNumber_ = 0;  // of the questions; firstNumber_: of this flush
-    Nanos until_ = 0, askedAt_ = 0;
+    Nanoseconds until_ = 0, askedAt_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/durability_gate.cpp
+++ b/src/control/durability_gate.cpp
@@ -9,7 +9,7 @@
 }
 }  // namespace
 
-std::uint64_t DurabilityGate::written(Nanos now) {
+std::uint64_t DurabilityGate::written(Nanoseconds now) {
     waiting_.emplace(++last_, now);
     return last_;
 }
--- a/src/control/durability_gate.hpp
+++ b/src/control/durability_gate.hpp
@@ -7,21 +7,23 @@
 #include <utility>
 
 #include "control/outputs.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
 class DurabilityGate {
 public:
     // A write is handed to the disk; returns its ticket. Tickets rise by one.
-    std::uint64_t written(Nanos now);
+    std::uint64_t written(Nanoseconds now);
     // Takes an output that depends on the writes before it where one of them is not synced; returns whether
     // it was taken.
     bool holds(Output& output);
     // Every write up to the ticket is synced: what may leave now, in its order.
     Outputs durable(std::uint64_t ticket);
     // When the oldest write that isn't synced was handed over; `now` where there is none.
-    Nanos waitingSince(Nanos now) const { return waiting_.empty() ? now : waiting_.begin()->second; }
+    Nanoseconds waitingSince(Nanoseconds now) const {
+        return waiting_.empty() ? now : waiting_.begin()->second;
+    }
 
 private:
     struct Held {
@@ -29,7 +31,7 @@
         Output output;
     };
     std::uint64_t last_ = 0;
-    std::map<std::uint64_t, Nanos> waiting_;  // by ticket
+    std::map<std::uint64_t, Nanoseconds> waiting_;  // by ticket
     std::deque<Held> held_;
 };
 
--- a/src/control/lease.cpp
+++ b/src/control/lease.cpp
@@ -32,7 +32,7 @@
             message.value("edition", std::uint64_t(0))};
 }
 
-LeaseQuestion LeaseRounds::begin(const Core& core, const std::string& ownVote, Nanos now) {
+LeaseQuestion LeaseRounds::begin(const Core& core, const std::string& ownVote, Nanoseconds now) {
     Round& round = rounds_[++last_];
     round.epoch = core.epoch;
     round.sentAt = now;
--- a/src/control/lease.hpp
+++ b/src/control/lease.hpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "control/vote.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -35,25 +35,25 @@
 class LeaseRounds {
 public:
     // How long what was told of leads may be believed, counted from when the question for it was sent.
-    static constexpr Nanos leaseTime = millis(700);
+    static constexpr Nanoseconds leaseTime = milliseconds(700);
 
     // Begins a round in this epoch. `ownVote`: the voter that this member is, or empty.
-    LeaseQuestion begin(const Core& core, const std::string& ownVote, Nanos now);
+    LeaseQuestion begin(const Core& core, const std::string& ownVote, Nanoseconds now);
     // Counts only where round, answer and this member's present epoch are one.
     void answered(const std::string& voter, const LeaseAnswer& answer, const Core& core);
-    Nanos until() const { return until_; }
+    Nanoseconds until() const { return until_; }
 
 private:
     struct Round {
         std::uint64_t epoch = 0;
-        Nanos sentAt = 0;
+        Nanoseconds sentAt = 0;
         std::set<std::string> voters;
     };
     void count(Round& round, const std::string& voter, const Core& core);
 
     std::map<std::uint64_t, Round> rounds_;
     std::uint64_t last_ = 0;
-    Nanos until_ = 0;
+    Nanoseconds until_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 // Rounds of the lease: three fit into one, so that one lost message does not end it.
-constexpr Nanos roundEvery = millis(200);
+constexpr Nanoseconds roundEvery = milliseconds(200);
 // An accepted value that nobody has said to stand is settled after this.
-constexpr Nanos unannouncedFor = millis(250);
+constexpr Nanoseconds unannouncedFor = milliseconds(250);
 // After a start nothing has been said yet, and everyone waits for it.
-constexpr Nanos soonAtStart = millis(50);
+constexpr Nanoseconds soonAtStart = milliseconds(50);
 // A member that was told to end is gone after this part of guarantees.grace_s, whatever is left to hand over.
 constexpr int leavingPartOfGrace = 3;
 
@@ -24,13 +24,13 @@
 }
 
 // A span told in microseconds; 0 where it is not.
-Nanos micros(const Json& message, const char* field) {
-    return message.value(field, Nanos(0)) * 1000;
+Nanoseconds micros(const Json& message, const char* field) {
+    return message.value(field, Nanoseconds(0)) * 1000;
 }
 }  // namespace
 
 ControlMember::ControlMember(const settings::Settings& settings, std::string incarnation,
-                             const std::map<std::string, Json>& disk, Nanos now)
+                             const std::map<std::string, Json>& disk, Nanoseconds now)
     : settings_(settings),
       self_(settings.controlAddress),
       incarnation_(std::move(incarnation)),
@@ -95,7 +95,7 @@
     return 0;
 }
 
-void ControlMember::linkUp(int link, const std::string& dialled, Nanos) {
+void ControlMember::linkUp(int link, const std::string& dialled, Nanoseconds) {
     peers_[link].dialled = dialled;
     if (dialled.empty()) return;  // who comes speaks first
     send(link, Hello{Hello::fromMember, self_, settings_.station, "", incarnation_, {}}.toJson());
@@ -104,7 +104,7 @@
     flushProposer(now_);
 }
 
-void ControlMember::linkDown(int link, Nanos now) {
+void ControlMember::linkDown(int link, Nanoseconds now) {
     const auto at = peers_.find(link);
     if (at == peers_.end()) return;
     const std::string dialled = at->second.dialled;
@@ -165,7 +165,7 @@
     return before;
 }
 
-void ControlMember::heard(int link, const Json& message, Nanos now) {
+void ControlMember::heard(int link, const Json& message, Nanoseconds now) {
     now_ = now;
     gossip_.advance(now, leased(now));
     gossip_.alive(link);
@@ -176,7 +176,7 @@
     depart(now);
 }
 
-void ControlMember::take(int link, const Json& message, Nanos now) {
+void ControlMember::take(int link, const Json& message, Nanoseconds now) {
     const auto found = peers_.find(link);
     if (found == peers_.end()) return;
     Peer& peer = found->second;
@@ -206,7 +206,7 @@
         roundAnswered(link, peer, message, now);
     } else if (kind == board::LeaseRequest::kind) {
         const std::uint64_t number = board::LeaseRequest::fromJson(message).number;
-        const Nanos left = std::max<Nanos>(0, lease_.until() - now);
+        const Nanoseconds left = std::max<Nanoseconds>(0, lease_.until() - now);
         send(link, board::LeaseReply{number, left, unsettledLeads_.all(board(), now),
                                      board::configurationVersion(board())}
                        .toJson());
@@ -230,7 +230,7 @@
 }
 
 // The other side of a link says who it is, and hears the same where it dialled.
-void ControlMember::greeted(int link, Peer& peer, const Hello& hello, Nanos now) {
+void ControlMember::greeted(int link, Peer& peer, const Hello& hello, Nanoseconds now) {
     peer.kind = hello.sender;
     peer.station = hello.station;
     peer.member = hello.member;
@@ -250,7 +250,7 @@
 }
 
 // A member asks for its lease.
-void ControlMember::roundAsked(int link, const Peer& peer, const Json& message, Nanos now) {
+void ControlMember::roundAsked(int link, const Peer& peer, const Json& message, Nanoseconds now) {
     const LeaseQuestion question = LeaseQuestion::fromJson(message);
     if (!peer.member.empty()) calls_.contacts().heard(peer.member, micros(message, "lease_left_us"), now);
     if (votes() && question.epoch == core_.epoch) {
@@ -262,7 +262,7 @@
     if (question.epoch < core_.epoch) send(link, PresentCore{core_}.toJson());
 }
 
-void ControlMember::roundAnswered(int link, const Peer& peer, const Json& message, Nanos now) {
+void ControlMember::roundAnswered(int link, const Peer& peer, const Json& message, Nanoseconds now) {
     calls_.contacts().heard(peer.dialled, micros(message, "lease_left_us"), now);
     const LeaseAnswer told = LeaseAnswer::fromJson(message);
     unsettledLeads_.told(told.unsettled, now);
@@ -313,7 +313,7 @@
 
 // Asks the voters for what they hold. Where this member has no vote, only whether the epoch still stands is
 // of interest.
-void ControlMember::recover(Nanos now) {
+void ControlMember::recover(Nanoseconds now) {
     if (!recovering_ || !recovery_.askNow(core_, self_, now)) return;
     if (newestEpochSeen() > core_.epoch) settleCore(now);
     const StateRequest request{core_, core_.voters.count(self_) ? "" : "core"};
@@ -323,7 +323,7 @@
 
 // A later epoch was accepted by some voter: it is found out whether it was chosen, and is so held by a
 // majority.
-void ControlMember::settleCore(Nanos now) {
+void ControlMember::settleCore(Nanoseconds now) {
     proposer_.begin({"core", [](const Json& was) { return was; },
                      [this](std::optional<Json> stands) {
                          if (stands) learn("core", *stands);
@@ -364,13 +364,13 @@
     if (!value.is_null() && !said(name, value)) unannounced_.try_emplace(name, now_);
 }
 
-void ControlMember::voteStored(const Json& reply, Nanos now) {
+void ControlMember::voteStored(const Json& reply, Nanoseconds now) {
     now_ = now;
     proposer_.heard(self_, reply, now);
     flushProposer(now);
 }
 
-void ControlMember::diskSeen(DiskHealth health, Nanos now) {
+void ControlMember::diskSeen(DiskHealth health, Nanoseconds now) {
     if (std::optional<std::string> line = diskWatch_.seen(health, now))
         outputs_.push_back(ToLog{std::move(*line)});
 }
@@ -381,7 +381,7 @@
 }
 
 // What proposers of this member say goes to its own vote directly.
-void ControlMember::flushProposer(Nanos) {
+void ControlMember::flushProposer(Nanoseconds) {
     for (auto said = proposer_.takeSaid(); !said.empty(); said = proposer_.takeSaid())
         for (auto& [to, message] : said) {
             if (to == self_) {
@@ -392,7 +392,7 @@
         }
 }
 
-void ControlMember::rounds(Nanos now) {
+void ControlMember::rounds(Nanoseconds now) {
     if (!core_.epoch || now - roundAt_ < roundEvery) return;
     roundAt_ = now;
     const LeaseQuestion question = lease_.begin(core_, votes() ? self_ : "", now);
@@ -401,7 +401,7 @@
 }
 
 Json ControlMember::withLeaseLeft(Json message) const {
-    message["lease_left_us"] = std::max<Nanos>(0, lease_.until() - now_) / 1000;
+    message["lease_left_us"] = std::max<Nanoseconds>(0, lease_.until() - now_) / 1000;
     return message;
 }
 
@@ -413,13 +413,13 @@
     if (const int link = linkTo(voter)) send(link, std::move(message));
 }
 
-void ControlMember::beginChange(Change change, Nanos now, Nanos until) {
+void ControlMember::beginChange(Change change, Nanoseconds now, Nanoseconds until) {
     proposer_.begin(std::move(change), now, until);
     flushProposer(now);
 }
 
 void ControlMember::call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-                         const std::string& body, Nanos now) {
+                         const std::string& body, Nanoseconds now) {
     now_ = now;
     calls_.call(call, method, path, body, now);
 }
@@ -427,12 +427,12 @@
 // What was accepted here and is said by nobody to stand may have been chosen by a proposer that died before
 // it could say so; and after a start nobody has said anything. It is read by a majority, which settles it,
 // and told to all.
-void ControlMember::repair(Nanos now) {
-    if (!core_.epoch || recovering_ || now - readAt_ < millis(100)) return;
+void ControlMember::repair(Nanoseconds now) {
+    if (!core_.epoch || recovering_ || now - readAt_ < milliseconds(100)) return;
     readAt_ = now;
     std::vector<std::string> names;
-    const Nanos turn = unannouncedFor + static_cast<Nanos>(rank()) * millis(300);
-    if (now - startedAt_ < millis(30'000))
+    const Nanoseconds turn = unannouncedFor + static_cast<Nanoseconds>(rank()) * milliseconds(300);
+    if (now - startedAt_ < milliseconds(30'000))
         for (const auto& [name, slot] : acceptor_.all())
             if (!slot.value.is_null() && !said(name, slot.value))
                 unannounced_.try_emplace(name, now - unannouncedFor + soonAtStart);
@@ -494,10 +494,10 @@
         now_, now_ + changeWithin);
 }
 
-void ControlMember::leave(Nanos now) {
+void ControlMember::leave(Nanoseconds now) {
     now_ = now;
     if (departure_.begun()) return;
-    departure_.begin(millis(settings_.grace_ms / leavingPartOfGrace), now);
+    departure_.begin(milliseconds(settings_.grace_ms / leavingPartOfGrace), now);
     outputs_.push_back(ToLog{"told to end: handing over"});
     ownRecord();
     ownDuties(now);
@@ -506,7 +506,7 @@
 }
 
 // Its vote has gone, or nothing that it sees speaks for another's having it.
-void ControlMember::depart(Nanos now) {
+void ControlMember::depart(Nanoseconds now) {
     if (!departure_.begun()) return;
     const bool voteSettled = !core_.voters.count(self_) || membership_.settled(now);
     std::set<std::string> inReach;
@@ -525,7 +525,7 @@
     gossip_.own("member/" + self_, body);
 }
 
-void ControlMember::tick(Nanos now) {
+void ControlMember::tick(Nanoseconds now) {
     now_ = now;
     gossip_.advance(now, leased(now));
     if (auto line = contact_.seen(lease_.until(), now)) outputs_.push_back(ToLog{std::move(*line)});
@@ -545,7 +545,7 @@
 }
 
 // Takes down records whose owners died without a word. Two members that do so at once make the same record.
-void ControlMember::endOverdue(Nanos now) {
+void ControlMember::endOverdue(Nanoseconds now) {
     if (!leased(now)) return;
     for (const std::string& name : gossip_.overdue()) {
         const bool voter = name.starts_with("member/") && core_.voters.count(name.substr(7));
@@ -556,7 +556,7 @@
     }
 }
 
-Json ControlMember::state(Nanos now) const {
+Json ControlMember::state(Nanoseconds now) const {
     Json leads = Json::object();
     for (const auto& [service, succession] : successions_) leads[service] = {{"phase", succession->phase()}};
     board().under("lead/", [&](const std::string& name, const board::Record& r) {
@@ -570,7 +570,7 @@
             {"votes", votes()},
             {"recovering", recovering_},
             {"disk", textOf(diskWatch_.health())},
-            {"lease_left_ms", std::max<Nanos>(0, lease_.until() - now) / 1'000'000},
+            {"lease_left_ms", std::max<Nanoseconds>(0, lease_.until() - now) / 1'000'000},
             {"edition", config ? Json(config->version.major) : Json()},
             {"registers", acceptor_.all().size()},
             {"leads", leads}};
--- a/src/control/member_duties.cpp
+++ b/src/control/member_duties.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 // A member whose link is down for longer counts as away when duties are dealt out.
-constexpr Nanos awayAfter = millis(600);
+constexpr Nanoseconds awayAfter = milliseconds(600);
 
 // Rendezvous hashing (Thaler and Ravishankar, 1998): the highest of all members' values for a name has it.
 std::uint64_t weight(const std::string& member, const std::string& name) {
@@ -48,7 +48,7 @@
 
 // A read by a majority that promises to take nothing older: what replaces the lead is chosen after it began.
 void ControlMember::confirm(const std::string& service, const Lead& expected,
-                            std::function<void(Confirmation, Nanos now)> done) {
+                            std::function<void(Confirmation, Nanoseconds now)> done) {
     const std::string name = "lead/" + service;
     proposer_.begin(
         {name, [](const Json& was) { return was; },
@@ -68,7 +68,7 @@
     return known ? known->syncReplicas : 1;  // not known yet: as if it had some
 }
 
-void ControlMember::suspected(const Json& message, Nanos now) {
+void ControlMember::suspected(const Json& message, Nanoseconds now) {
     const std::string service = message.at("service");
     const auto at = successions_.find(service);
     if (at != successions_.end()) at->second->suspected(message.at("store"), now);
@@ -80,7 +80,7 @@
         if (!peer.dialled.empty()) send(link, on);
 }
 
-void ControlMember::storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanos now) {
+void ControlMember::storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanoseconds now) {
     now_ = now;
     const auto at = asks_.find(ask);
     if (at == asks_.end()) return;
@@ -89,7 +89,7 @@
     asker->answered(ask, row, now);
 }
 
-void ControlMember::platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanos now) {
+void ControlMember::platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanoseconds now) {
     now_ = now;
     const auto at = asks_.find(ask);
     if (at == asks_.end()) return;
@@ -99,7 +99,7 @@
 }
 
 // Each service's duty belongs to the voter with the highest value for its name among those in reach.
-void ControlMember::ownDuties(Nanos now) {
+void ControlMember::ownDuties(Nanoseconds now) {
     if (!settings_.promotes) return;
     std::vector<std::string> here;
     for (const std::string& voter : core_.voters) {
@@ -115,7 +115,7 @@
         if (!slot)
             slot = std::make_unique<Succession>(
                 self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
-                PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
+                PlatformGuarantees{settings_.fenceChecked, milliseconds(settings_.lease_ms)});
     });
     std::erase_if(here, [this](const std::string& voter) { return disqualified(voter); });
     for (const auto& [service, succession] : successions_) {
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 // A change of voters that has not come through by then is given up, and judged anew.
-constexpr Nanos reformWithin = millis(3000);
+constexpr Nanoseconds reformWithin = milliseconds(3000);
 // Links carry what is sent or end; a voter may have had no vote yet when it was asked.
-constexpr Nanos askAgain = millis(300);
+constexpr Nanoseconds askAgain = milliseconds(300);
 // After a change that the other voters did not bear out, or that failed, no other is tried for this long.
-constexpr Nanos pauseAfterFailure = millis(1000);
+constexpr Nanoseconds pauseAfterFailure = milliseconds(1000);
 }  // namespace
 
 MembershipTimes timesFor(int syncIn_ms) {
     MembershipTimes times;
-    times.absent = millis(std::clamp(syncIn_ms / 4, 500, 2000));
+    times.absent = milliseconds(std::clamp(syncIn_ms / 4, 500, 2000));
     times.afterStart = 3 * times.absent;
     return times;
 }
@@ -43,14 +43,14 @@
             message.at("hears_absent").get<bool>()};
 }
 
-Membership::Membership(std::string self, const settings::Settings& settings, Means& means, Nanos now)
+Membership::Membership(std::string self, const settings::Settings& settings, Means& means, Nanoseconds now)
     : self_(std::move(self)),
       times_(timesFor(settings.syncIn_ms)),
       fewestVoters_(fewestVotersFor(settings.tolerance)),
       means_(means),
       startedAt_(now) {}
 
-void Membership::adopted(const Core& core, Nanos now) {
+void Membership::adopted(const Core& core, Nanoseconds now) {
     core_ = core;
     adoptedAt_ = now;
     reform_.reset();
@@ -62,13 +62,13 @@
     return at != standing_.end() && at->second.leaving;
 }
 
-bool Membership::inReach(const std::string& member, Nanos now) const {
+bool Membership::inReach(const std::string& member, Nanoseconds now) const {
     if (member == self_) return true;
     const auto at = lastHeard_.find(member);
     return at != lastHeard_.end() && now - at->second <= times_.silence && means_.linkedTo(member);
 }
 
-bool Membership::absentFor(const std::string& voter, Nanos bound, Nanos now) const {
+bool Membership::absentFor(const std::string& voter, Nanoseconds bound, Nanoseconds now) const {
     const auto since = awaySince_.find(voter);
     if (since == awaySince_.end() || inReach(voter, now)) return false;
     // After a restart of all, members return one after the other.
@@ -76,7 +76,7 @@
     return now - since->second >= bound;
 }
 
-void Membership::observe(Nanos now) {
+void Membership::observe(Nanoseconds now) {
     for (const std::string& voter : core_.voters) {
         if (inReach(voter, now))
             awaySince_.erase(voter);
@@ -88,7 +88,7 @@
         if (inReach(member, now)) presentSince_.try_emplace(member, now);
 }
 
-VoterView Membership::view(Nanos now, Newcomers newcomers) const {
+VoterView Membership::view(Nanoseconds now, Newcomers newcomers) const {
     VoterView view;
     view.voters = core_.voters;
     view.fewestVoters = fewestVoters_;
@@ -101,7 +101,7 @@
         if (absentFor(voter, leaves(voter) ? 0 : times_.absent, now)) view.absent.insert(voter);
         if (absentFor(voter, leaves(voter) ? 0 : times_.absentForGood, now)) view.absentForGood.insert(voter);
     }
-    std::vector<std::pair<Nanos, std::string>> bySince;
+    std::vector<std::pair<Nanoseconds, std::string>> bySince;
     for (const auto& [member, since] : presentSince_) {
         if (core_.voters.count(member) || !inReach(member, now)) continue;
         const auto standing = standing_.find(member);
@@ -118,14 +118,14 @@
 
 // How many voters in reach come before this one: what any may do the first does, the next if it has not. One
 // that leaves comes behind those that stay.
-std::size_t Membership::rank(Nanos now) const {
+std::size_t Membership::rank(Nanoseconds now) const {
     return static_cast<std::size_t>(
         std::count_if(core_.voters.begin(), core_.voters.end(), [&](const std::string& voter) {
             return inReach(voter, now) && std::pair(leaves(voter), voter) < std::pair(leaves(self_), self_);
         }));
 }
 
-void Membership::tick(bool votes, Nanos now) {
+void Membership::tick(bool votes, Nanoseconds now) {
     observe(now);
     if (!votes || now < notBefore_) return;
     if (reform_) {
@@ -136,10 +136,11 @@
     const std::optional<VoterChange> change = nextVoterChange(view(now, Newcomers::settled));
     if (change != needed_) neededSince_ = now;
     needed_ = change;
-    if (change && now - neededSince_ >= static_cast<Nanos>(rank(now)) * times_.turn) begin(*change, now);
+    if (change && now - neededSince_ >= static_cast<Nanoseconds>(rank(now)) * times_.turn)
+        begin(*change, now);
 }
 
-void Membership::begin(const VoterChange& change, Nanos now) {
+void Membership::begin(const VoterChange& change, Nanoseconds now) {
     Reform reform;
     reform.next = {core_.epoch + 1, votersAfter(core_.voters, change)};
     reform.change = change;
@@ -152,7 +153,7 @@
     proceed(now);
 }
 
-void Membership::ask(Nanos now) {
+void Membership::ask(Nanoseconds now) {
     reform_->askedAt = now;
     const bool absent = reform_->change.kind == VoterChange::Kind::removeAbsent;
     const CensusRequest request{core_.epoch, core_.voters, absent ? reform_->change.member : ""};
@@ -160,15 +161,15 @@
         if (!reform_->heard.count(voter)) means_.sendToVoter(voter, request.toJson());
 }
 
-bool Membership::changing(Nanos now) const {
+bool Membership::changing(Nanoseconds now) const {
     return reform_ || now - adoptedAt_ < askAgain;
 }
 
-CensusReply Membership::answer(const CensusRequest& request, Nanos now) const {
+CensusReply Membership::answer(const CensusRequest& request, Nanoseconds now) const {
     return {core_.epoch, means_.registersHeld(), !request.absent.empty() && inReach(request.absent, now)};
 }
 
-void Membership::heard(const std::string& voter, const CensusReply& reply, Nanos now) {
+void Membership::heard(const std::string& voter, const CensusReply& reply, Nanoseconds now) {
     if (!reform_ || reply.epoch != core_.epoch || !core_.voters.count(voter)) return;
     reform_->heard.insert(voter);
     if (reply.hearsAbsent) reform_->hearing.insert(voter);
@@ -176,7 +177,7 @@
     proceed(now);
 }
 
-void Membership::proceed(Nanos now) {
+void Membership::proceed(Nanoseconds now) {
     if (reform_->accepting || reform_->heard.size() < core_.majority()) return;
     if (reform_->change.kind == VoterChange::Kind::removeAbsent) {
         if (inReach(reform_->change.member, now)) return giveUp(now, "it is in reach again");
@@ -210,7 +211,7 @@
     });
 }
 
-void Membership::giveUp(Nanos now, const std::string& cause) {
+void Membership::giveUp(Nanoseconds now, const std::string& cause) {
     means_.logMembership("change of voters given up at " + reform_->change.member + ": " + cause);
     reform_.reset();
     needed_.reset();
--- a/src/control/membership.hpp
+++ b/src/control/membership.hpp
@@ -13,7 +13,7 @@
 
 #include "control/register.hpp"
 #include "control/voter_policy.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 #include "settings/settings.hpp"
 
 namespace granitereel::control {
@@ -28,12 +28,13 @@
 // Bounds of the judgement of who is in reach. Those of `timesFor` follow from guarantees.sync_in_s, within
 // half of which a replacement must be complete.
 struct MembershipTimes {
-    Nanos silence = millis(600);  // a link that carried nothing for longer is as good as none
-    Nanos absent = millis(1000);  // out of reach for longer: absent
-    Nanos absentForGood = millis(15'000);
-    Nanos afterStart = millis(3000);  // a voter not yet heard in this life is not judged before
-    Nanos settle = millis(300);       // in reach for longer: may get a vote
-    Nanos turn = millis(500);         // what the first voter in reach has not done the next does after this
+    Nanoseconds silence = milliseconds(600);  // a link that carried nothing for longer is as good as none
+    Nanoseconds absent = milliseconds(1000);  // out of reach for longer: absent
+    Nanoseconds absentForGood = milliseconds(15'000);
+    Nanoseconds afterStart = milliseconds(3000);  // a voter not yet heard in this life is not judged before
+    Nanoseconds settle = milliseconds(300);       // in reach for longer: may get a vote
+    Nanoseconds turn =
+        milliseconds(500);  // what the first voter in reach has not done the next does after this
 };
 MembershipTimes timesFor(int syncIn_ms);
 
@@ -71,26 +72,26 @@
         virtual void logMembership(std::string line) = 0;
     };
 
-    Membership(std::string self, const settings::Settings& settings, Means& means, Nanos now);
+    Membership(std::string self, const settings::Settings& settings, Means& means, Nanoseconds now);
 
     // What is under way for an earlier epoch is given up.
-    void adopted(const Core& core, Nanos now);
-    void heard(const std::string& member, Nanos now) { lastHeard_[member] = now; }
+    void adopted(const Core& core, Nanoseconds now);
+    void heard(const std::string& member, Nanoseconds now) { lastHeard_[member] = now; }
     // The last one told holds: a member that starts again makes its record anew.
     void told(const std::string& member, MemberStanding standing) { standing_[member] = standing; }
     // Does what this member's turn is; `votes`: whether this member may vote.
-    void tick(bool votes, Nanos now);
+    void tick(bool votes, Nanoseconds now);
     // Whether a change is under way or was made a moment ago: then another may follow at once, and `tick` is
     // called with every message, so that the core is between two changes as shortly as can be.
-    bool changing(Nanos now) const;
-    CensusReply answer(const CensusRequest& request, Nanos now) const;
-    void heard(const std::string& voter, const CensusReply& reply, Nanos now);
+    bool changing(Nanoseconds now) const;
+    CensusReply answer(const CensusRequest& request, Nanoseconds now) const;
+    void heard(const std::string& voter, const CensusReply& reply, Nanoseconds now);
 
-    bool inReach(const std::string& member, Nanos now) const;
+    bool inReach(const std::string& member, Nanoseconds now) const;
     bool leaves(const std::string& member) const;
     // Whether, from what this member sees, the voters are as they should be, also once those in reach that
     // have just come may vote.
-    bool settled(Nanos now) const { return !nextVoterChange(view(now, Newcomers::all)); }
+    bool settled(Nanoseconds now) const { return !nextVoterChange(view(now, Newcomers::all)); }
 
 private:
     // A change of voters under way.
@@ -98,34 +99,34 @@
         Core next;
         VoterChange change;
         std::set<std::string> heard, hearing, registers;  // hearing: those who hear the absent voter
-        Nanos since = 0, askedAt = 0;
+        Nanoseconds since = 0, askedAt = 0;
         bool accepting = false, writing = false;
         std::size_t acceptancesLeft = 0;
         std::uint64_t number = 0;
     };
 
     enum class Newcomers { settled, all };
-    VoterView view(Nanos now, Newcomers newcomers) const;
-    bool absentFor(const std::string& voter, Nanos bound, Nanos now) const;
-    std::size_t rank(Nanos now) const;
-    void observe(Nanos now);
-    void begin(const VoterChange& change, Nanos now);
-    void ask(Nanos now);
-    void proceed(Nanos now);
+    VoterView view(Nanoseconds now, Newcomers newcomers) const;
+    bool absentFor(const std::string& voter, Nanoseconds bound, Nanoseconds now) const;
+    std::size_t rank(Nanoseconds now) const;
+    void observe(Nanoseconds now);
+    void begin(const VoterChange& change, Nanoseconds now);
+    void ask(Nanoseconds now);
+    void proceed(Nanoseconds now);
     void acceptAll();
     void write();
-    void giveUp(Nanos now, const std::string& cause);
+    void giveUp(Nanoseconds now, const std::string& cause);
 
     const std::string self_;
     const MembershipTimes times_;
     const std::size_t fewestVoters_;
     Means& means_;
-    const Nanos startedAt_;
+    const Nanoseconds startedAt_;
     Core core_;
-    std::map<std::string, Nanos> lastHeard_, awaySince_, presentSince_;
+    std::map<std::string, Nanoseconds> lastHeard_, awaySince_, presentSince_;
     std::map<std::string, MemberStanding> standing_;
     std::optional<VoterChange> needed_;
-    Nanos neededSince_ = 0, notBefore_ = 0, adoptedAt_ = 0;
+    Nanoseconds neededSince_ = 0, notBefore_ = 0, adoptedAt_ = 0;
     std::optional<Reform> reform_;
     std::uint64_t lastReform_ = 0;
 };
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -12,7 +12,7 @@
 }
 }  // namespace
 
-void OperatorCalls::put(std::uint64_t call, const Json& sent, Nanos now, Nanos until) {
+void OperatorCalls::put(std::uint64_t call, const Json& sent, Nanoseconds now, Nanoseconds until) {
     // The last time that the register's value was seen decides: it is the one that was chosen.
     const auto verdict = std::make_shared<OrderVerdict>(OrderVerdict::older);
     Change change;
@@ -36,7 +36,7 @@
     means_.beginChange(std::move(change), now, until);
 }
 
-void OperatorCalls::get(std::uint64_t call, Nanos now, Nanos until) {
+void OperatorCalls::get(std::uint64_t call, Nanoseconds now, Nanoseconds until) {
     Change change;
     change.name = "config";
     change.change = [](const Json& was) { return was; };
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -8,7 +8,7 @@
 #include "control/edition_log.hpp"
 #include "control/outputs.hpp"
 #include "control/register.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -17,7 +17,7 @@
     // What is needed of the member.
     struct Means {
         virtual ~Means() = default;
-        virtual void beginChange(Change change, Nanos now, Nanos until) = 0;
+        virtual void beginChange(Change change, Nanoseconds now, Nanoseconds until) = 0;
         // The register's value that was seen to stand.
         virtual void configurationStands(const Json& value) = 0;
         virtual void answerOperator(std::uint64_t call, Kind kind, std::string body) = 0;
@@ -27,9 +27,9 @@
 
     // PUT /config with a body that was found valid. By `until` it is answered, and the
     // configuration may stand or not where there was no majority; the same body may be sent again anywhere.
-    void put(std::uint64_t call, const Json& sent, Nanos now, Nanos until);
+    void put(std::uint64_t call, const Json& sent, Nanoseconds now, Nanoseconds until);
     // GET /config.
-    void get(std::uint64_t call, Nanos now, Nanos until);
+    void get(std::uint64_t call, Nanoseconds now, Nanoseconds until);
 
 private:
     Means& means_;
--- a/src/control/outputs.hpp
+++ b/src/control/outputs.hpp
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -58,14 +58,14 @@
     std::string location;  // where the caller is sent on to, with Kind::elsewhere
 };
 // A call that must not leave later than at this time, as what it rests on may no longer stand then.
-constexpr Nanos anyTime = std::numeric_limits<Nanos>::max();
+constexpr Nanoseconds anyTime = std::numeric_limits<Nanoseconds>::max();
 // A statement of control's own at a store: STATUS, PAUSE term, RESUME or STEPDOWN term. Sent once, over a
 // connection of its own.
 struct ToStore {
     std::uint64_t ask = 0;
     std::string store, service, address, text;
     int within_ms = 0;
-    Nanos notAfter = anyTime;
+    Nanoseconds notAfter = anyTime;
 };
 // POST /promotions. Sent once, over a connection of its own.
 struct ToPlatform {
@@ -73,7 +73,7 @@
     std::string service, store, holder;
     std::uint64_t fence = 0;
     int within_ms = 0;
-    Nanos notAfter = anyTime;
+    Nanoseconds notAfter = anyTime;
 };
 // A change of state worth a line in the log.
 struct ToLog {
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -97,7 +97,7 @@
                              transport::steadyNow());
     }
 
-    DiskHealth diskHealth(Nanos now) const {
+    DiskHealth diskHealth(Nanoseconds now) const {
         if (diskRefuses_) return DiskHealth::refuses;
         return now - gate_.waitingSince(now) >= slowDiskAfter ? DiskHealth::slow : DiskHealth::ok;
     }
@@ -114,7 +114,7 @@
         diskRefuses_ = refuses;
         Outputs released;
         if (!refuses) released = gate_.durable(report.ticket);
-        const Nanos now = transport::steadyNow();
+        const Nanoseconds now = transport::steadyNow();
         member_.diskSeen(diskHealth(now), now);
         // Not through the gate again, where they would wait for the writes since.
         for (Output& output : released) carry(output);
@@ -142,7 +142,7 @@
     }
 
     void tick() {
-        const Nanos now = transport::steadyNow();
+        const Nanoseconds now = transport::steadyNow();
         dial(now);
         member_.diskSeen(diskHealth(now), now);
         member_.tick(now);
@@ -154,11 +154,11 @@
         });
     }
 
-    void dial(Nanos now) {
+    void dial(Nanoseconds now) {
         for (const std::string& member : member_.toDial()) {
             auto& slot = dialled_[member];
             if (slot.link != 0 || now < slot.notBefore) continue;
-            slot.notBefore = now + millis(250);
+            slot.notBefore = now + milliseconds(250);
             auto where = transport::endpointOf(member);
             where.port(static_cast<unsigned short>(settings_.firstPort));
             auto made = std::make_shared<std::shared_ptr<transport::Stream>>();
@@ -250,7 +250,7 @@
 
     struct Dialled {
         int link = 0;  // 0: none; -1: being made
-        Nanos notBefore = 0;
+        Nanoseconds notBefore = 0;
     };
     const settings::Settings settings_;
     const std::string settingsPath_;
--- a/src/control/recovery.cpp
+++ b/src/control/recovery.cpp
@@ -7,7 +7,7 @@
     askedAt_ = 0;
 }
 
-bool Recovery::askNow(const Core& core, const std::string& self, Nanos now) {
+bool Recovery::askNow(const Core& core, const std::string& self, Nanoseconds now) {
     if (core.epoch == 0) return false;
     if (core.voters.count(self) && now < notBefore_) return false;
     if (askedAt_ != 0 && now - askedAt_ < askEvery) return false;
--- a/src/control/recovery.hpp
+++ b/src/control/recovery.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "control/vote.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -14,12 +14,12 @@
 // epoch it begins anew.
 class Recovery {
 public:
-    explicit Recovery(Nanos notBefore) : notBefore_(notBefore) {}
+    explicit Recovery(Nanoseconds notBefore) : notBefore_(notBefore) {}
 
     void epochChanged();
     // Whether the voters are to be asked now. Where this member has no vote in the epoch, none of its earlier
     // answers counts there, and nothing is waited for.
-    bool askNow(const Core& core, const std::string& self, Nanos now);
+    bool askNow(const Core& core, const std::string& self, Nanoseconds now);
     // An answer of another member that votes in this epoch; whether it counts.
     bool answered(const Core& core, const std::string& voter, std::uint64_t epoch);
     // `newestEpoch`: the highest that the register of the epoch was seen accepted with. Where it is above the
@@ -27,9 +27,9 @@
     bool complete(const Core& core, std::uint64_t newestEpoch) const;
 
 private:
-    static constexpr Nanos askEvery = millis(300);
+    static constexpr Nanoseconds askEvery = milliseconds(300);
 
-    Nanos notBefore_ = 0, askedAt_ = 0;
+    Nanoseconds notBefore_ = 0, askedAt_ = 0;
     std::set<std::string> answered_;
 };
 
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -86,7 +86,7 @@
     return changed;
 }
 
-void Proposer::begin(Change change, Nanos now, Nanos until) {
+void Proposer::begin(Change change, Nanoseconds now, Nanoseconds until) {
     const std::uint64_t no = nextNo_++;
     Running& running = running_[no];
     running.change = std::move(change);
@@ -94,7 +94,7 @@
     prepare(no, running, now);
 }
 
-void Proposer::prepare(std::uint64_t no, Running& running, Nanos now) {
+void Proposer::prepare(std::uint64_t no, Running& running, Nanoseconds now) {
     // Above what this member's own disk has promised: another life's rounds are not tried again.
     highestRound_ = std::max(highestRound_, held_(running.change.name).promised.round) + 1;
     running.ballot = {highestRound_, self_};
@@ -134,7 +134,7 @@
 }
 
 // The present phase's question, to all who have not answered it and to whom it does not stand.
-void Proposer::askAll(std::uint64_t no, Running& running, Nanos now) {
+void Proposer::askAll(std::uint64_t no, Running& running, Nanoseconds now) {
     running.sentAt = now;
     for (const std::string& voter : core_.voters)
         if (!running.answered.count(voter) && !running.asked.count(voter)) ask(no, running, voter);
@@ -151,7 +151,7 @@
     linked_.erase(voter);
 }
 
-void Proposer::heard(const std::string& from, const Json& answer, Nanos now) {
+void Proposer::heard(const std::string& from, const Json& answer, Nanoseconds now) {
     const VoteReply reply = VoteReply::fromJson(answer);
     const auto found = running_.find(reply.attempt);
     if (found == running_.end() || !core_.voters.count(from)) return;
@@ -182,21 +182,21 @@
 
 // The voter has promised another ballot: the next try is above it. (Its own ballot comes back from a voter
 // that has accepted another value under it; a further round mends that.)
-void Proposer::refused(Running& running, const Ballot& promised, Nanos now) {
+void Proposer::refused(Running& running, const Ballot& promised, Nanoseconds now) {
     highestRound_ = std::max(highestRound_, promised.round);
     if (running.paused || promised < running.ballot) return;
     // Two at once: the pause grows with how long a round takes here, and by a part that their names make
     // differ, so that one of them gets through.
     running.paused = true;
     running.clashes = std::min(running.clashes + 1, 6);
-    const Nanos round = std::min(now - running.sentAt, millis(200)) + millis(4);
+    const Nanoseconds round = std::min(now - running.sentAt, milliseconds(200)) + milliseconds(4);
     const std::string chance = self_.member + std::to_string(running.ballot.round);
-    const auto part = static_cast<Nanos>(std::hash<std::string>()(chance) % 64);
+    const auto part = static_cast<Nanoseconds>(std::hash<std::string>()(chance) % 64);
     running.resumeAt = now + round * running.clashes * (32 + part) / 32;
 }
 
 void Proposer::promised(std::uint64_t no, Running& running, const std::string& from, const VoteReply& reply,
-                        Nanos now) {
+                        Nanoseconds now) {
     if (running.best < reply.accepted) {
         const Slot& own = held_(running.change.name);
         // What it does not send is what this member held when it asked.
@@ -216,7 +216,7 @@
     return static_cast<std::size_t>(same) >= core_.majority();
 }
 
-void Proposer::proceed(std::uint64_t no, Running& running, Nanos now) {
+void Proposer::proceed(std::uint64_t no, Running& running, Nanoseconds now) {
     if (running.answered.size() < core_.majority()) return;
     if (running.accepting) return end(no, running.value);
     Json value = running.change.change(running.was);
@@ -231,13 +231,13 @@
     askAll(no, running, now);
 }
 
-void Proposer::core(Core core, Nanos now) {
+void Proposer::core(Core core, Nanoseconds now) {
     if (core.epoch <= core_.epoch) return;
     core_ = std::move(core);
     for (auto& [no, running] : running_) prepare(no, running, now);
 }
 
-void Proposer::forgets(const std::string& voter, Nanos now) {
+void Proposer::forgets(const std::string& voter, Nanoseconds now) {
     for (auto& [no, running] : running_) {
         if (running.paused) continue;
         // A promise that its disk has forgotten binds nobody: the ballot is given up.
@@ -248,7 +248,7 @@
     }
 }
 
-void Proposer::tick(Nanos now) {
+void Proposer::tick(Nanoseconds now) {
     std::vector<std::uint64_t> over;
     for (auto& [no, running] : running_) {
         if (now >= running.until)
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "control/vote.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -81,13 +81,13 @@
         : self_(std::move(self)), held_(std::move(held)), linked_{self_.member} {}
 
     // What is under way begins anew with the voters of a later epoch.
-    void core(Core core, Nanos now);
+    void core(Core core, Nanoseconds now);
     const Core& core() const { return core_; }
     // A member that has lost its disk answers anew under another incarnation: what it said before counts no
     // more.
-    void forgets(const std::string& voter, Nanos now);
+    void forgets(const std::string& voter, Nanoseconds now);
 
-    void begin(Change change, Nanos now, Nanos until);
+    void begin(Change change, Nanoseconds now, Nanoseconds until);
     // A link to this voter is there anew: what it has not answered is asked again. Nothing is said to a voter
     // before; of this member itself it need not be told.
     void reached(const std::string& voter);
@@ -95,15 +95,15 @@
     void lost(const std::string& voter);
     // A VoteReply to a request of this proposer. What comes behind a change's deadline counts no more, also
     // where this process was frozen and has not ticked since.
-    void heard(const std::string& from, const Json& answer, Nanos now);
-    void tick(Nanos now);
+    void heard(const std::string& from, const Json& answer, Nanoseconds now);
+    void tick(Nanoseconds now);
     // Whether no change is under way.
     bool idle() const { return running_.empty(); }
     std::vector<Said> takeSaid() { return std::exchange(said_, {}); }
     // What the changes that ended without a majority were short of, for the log.
     std::vector<std::string> takeFailures() { return std::exchange(failures_, {}); }
     // Links carry what is sent or end, so only a voter that abstained is asked again, after this.
-    static constexpr Nanos again = millis(400);
+    static constexpr Nanoseconds again = milliseconds(400);
 
 private:
     struct Answer {
@@ -112,7 +112,7 @@
     };
     struct Running {
         Change change;
-        Nanos until = 0, sentAt = 0, resumeAt = 0;
+        Nanoseconds until = 0, sentAt = 0, resumeAt = 0;
         Ballot ballot, best;
         Json was, value, patch;
         bool accepting = false, paused = false;
@@ -121,13 +121,13 @@
         std::set<std::string> asked, lacksBase;   // asked: the phase's question stands on a living link
         int clashes = 0;
     };
-    void prepare(std::uint64_t no, Running& running, Nanos now);
+    void prepare(std::uint64_t no, Running& running, Nanoseconds now);
     void ask(std::uint64_t no, Running& running, const std::string& voter);
-    void askAll(std::uint64_t no, Running& running, Nanos now);
-    void refused(Running& running, const Ballot& promised, Nanos now);
+    void askAll(std::uint64_t no, Running& running, Nanoseconds now);
+    void refused(Running& running, const Ballot& promised, Nanoseconds now);
     void promised(std::uint64_t no, Running& running, const std::string& from, const VoteReply& reply,
-                  Nanos now);
-    void proceed(std::uint64_t no, Running& running, Nanos now);
+                  Nanoseconds now);
+    void proceed(std::uint64_t no, Running& running, Nanoseconds now);
     bool chosenAlready(const Running& running) const;
     void end(std::uint64_t no, std::optional<Json> value);
 
--- a/src/control/replica_ages.cpp
+++ b/src/control/replica_ages.cpp
@@ -4,7 +4,7 @@
 
 namespace granitereel::control {
 
-void ReplicaAges::note(const YoungReplicas& onRecord, Nanos now) {
+void ReplicaAges::note(const YoungReplicas& onRecord, Nanoseconds now) {
     std::erase_if(seen_, [&](const auto& each) { return !onRecord.count(each.first); });
     for (const auto& [replica, told] : onRecord) {
         const auto [at, first] = seen_.try_emplace(replica, Seen{told, now});
@@ -12,10 +12,10 @@
     }
 }
 
-unsigned ReplicaAges::age(const std::string& replica, Nanos now) const {
+unsigned ReplicaAges::age(const std::string& replica, Nanoseconds now) const {
     const auto found = seen_.find(replica);
     if (found == seen_.end()) return 0;
-    const auto passed = static_cast<unsigned>(std::max<Nanos>(0, now - found->second.since) / step);
+    const auto passed = static_cast<unsigned>(std::max<Nanoseconds>(0, now - found->second.since) / step);
     return std::min(grownUp, found->second.age + passed);
 }
 
--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "board/lease.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -21,17 +21,17 @@
     // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
     // that counts from a lease before and whose clock is slow.
     static constexpr unsigned grownUp = 3;
-    static constexpr Nanos step = (board::recordsRestedOnFor + millis(5000)) / grownUp;
+    static constexpr Nanoseconds step = (board::recordsRestedOnFor + milliseconds(5000)) / grownUp;
 
     // What the record says now.
-    void note(const YoungReplicas& onRecord, Nanos now);
+    void note(const YoungReplicas& onRecord, Nanoseconds now);
     // In steps, at most `grownUp`; 0: not seen on record yet.
-    unsigned age(const std::string& replica, Nanos now) const;
+    unsigned age(const std::string& replica, Nanoseconds now) const;
 
 private:
     struct Seen {
         unsigned age = 0;  // at `since`, in steps
-        Nanos since = 0;
+        Nanoseconds since = 0;
     };
     std::map<std::string, Seen> seen_;
 };
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -85,33 +85,33 @@
 }
 
 StoreRegistry::StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means,
-                             Nanos now)
+                             Nanoseconds now)
     : self_(std::move(self)),
       life_(std::move(life)),
-      lateAfter_(lateBeats * millis(beatInterval_ms)),
+      lateAfter_(lateBeats * milliseconds(beatInterval_ms)),
       means_(means),
       startedAt_(now),
       tickedAt_(now),
       forgotAt_(now) {}
 
-void StoreRegistry::called(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
+void StoreRegistry::called(std::uint64_t call, const StoreCall& said, Nanoseconds until, Nanoseconds now) {
     take(call, said, until, now);
 }
 
-void StoreRegistry::left(std::uint64_t call, const std::string& id, Nanos until, Nanos now) {
+void StoreRegistry::left(std::uint64_t call, const std::string& id, Nanoseconds until, Nanoseconds now) {
     takeLeft(call, recordName(id), until, now);
 }
 
 // Whether a call whose number is not above the known one, or that follows a tombstone, is of a later life: no
 // call of the known life can still be under way, or the store's slow start ends later than that life's did.
-bool StoreRegistry::startedAnew(const StoreCall& said, const Life& life, Nanos now) const {
+bool StoreRegistry::startedAnew(const StoreCall& said, const Life& life, Nanoseconds now) const {
     if (now - life.heardAt >= lateAfter_) return true;
-    const Nanos warmAt = now + millis(said.coldLeft_ms);
+    const Nanoseconds warmAt = now + milliseconds(said.coldLeft_ms);
     return said.coldLeft_ms > 0 && life.warmAt && warmAt > *life.warmAt + lateAfter_;
 }
 
 StoreRegistry::Verdict StoreRegistry::judge(const StoreCall& said, const board::Record* known,
-                                            Nanos now) const {
+                                            Nanoseconds now) const {
     const auto found = lives_.find(recordName(said.id));
     if (!known || found == lives_.end()) return Verdict::newLife;
     const Life& life = found->second;
@@ -132,7 +132,7 @@
     return same ? Verdict::unchanged : Verdict::changed;
 }
 
-void StoreRegistry::begin(const StoreCall& said, std::uint64_t since, Nanos now) {
+void StoreRegistry::begin(const StoreCall& said, std::uint64_t since, Nanoseconds now) {
     Life& life = lives_[recordName(said.id)];
     if (life.address != said.address || life.edition != said.edition) {
         life.formerAddress = std::exchange(life.address, said.address);
@@ -144,7 +144,7 @@
     life.warmAt.reset();
 }
 
-void StoreRegistry::take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
+void StoreRegistry::take(std::uint64_t call, const StoreCall& said, Nanoseconds until, Nanoseconds now) {
     const std::string name = recordName(said.id);
     const board::Record* known = means_.board().find(name);
     const Verdict verdict = judge(said, known, now);
@@ -156,7 +156,7 @@
             life.number = said.number;
             life.heardAt = now;
         }
-        life.slowUntil(now + millis(said.coldLeft_ms));
+        life.slowUntil(now + milliseconds(said.coldLeft_ms));
     }
     if (verdict == Verdict::changed || verdict == Verdict::newLife) {
         const Json body = recordBody(said, lives_[name].since, said.coldLeft_ms);
@@ -171,7 +171,8 @@
     confirm({call, said, name, *means_.board().find(name), {}, until, now}, now);
 }
 
-void StoreRegistry::takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now) {
+void StoreRegistry::takeLeft(std::uint64_t call, const std::string& name, Nanoseconds until,
+                             Nanoseconds now) {
     const board::Record* known = means_.board().find(name);
     if (known && !known->body.is_null())
         means_.putRecord(name, {{known->version.major + 1, known->version.minor + aboveCalls}, nullptr});
@@ -180,7 +181,7 @@
     confirm({call, std::nullopt, name, known ? *known : board::Record(), {}, until, now}, now);
 }
 
-void StoreRegistry::confirm(Pending pending, Nanos now) {
+void StoreRegistry::confirm(Pending pending, Nanoseconds now) {
     const auto seen = confirmed_.find(pending.name);
     if (seen != confirmed_.end() && seen->second == pending.record.version)
         return means_.answerStore(pending.call, Kind::taken);
@@ -191,7 +192,7 @@
     settle(number);
 }
 
-void StoreRegistry::ask(std::uint64_t number, Pending& pending, Nanos now) {
+void StoreRegistry::ask(std::uint64_t number, Pending& pending, Nanoseconds now) {
     pending.askedAt = now;
     const Json message = StoreRecordReplicate{life_, number, pending.name, pending.record}.toJson();
     for (const std::string& voter : means_.core().voters)
@@ -215,7 +216,7 @@
 
 // A member that started has forgotten what it held: it counts as a holder only once it has the boards of
 // those that may hold it.
-bool StoreRegistry::remembers(Nanos now) const {
+bool StoreRegistry::remembers(Nanoseconds now) const {
     const Core& core = means_.core();
     if (!core.epoch) return false;
     std::size_t heard = 0;
@@ -225,7 +226,7 @@
     return heard + 1 >= core.majority() && now - startedAt_ >= boardsWithin;
 }
 
-std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanos now) {
+std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanoseconds now) {
     if (asked.record.version != board::Version()) means_.putRecord(asked.name, asked.record);
     if (!remembers(now)) return std::nullopt;
     const board::Record* stands = means_.board().find(asked.name);
@@ -235,7 +236,7 @@
     return StoreRecordHeld{asked.life, asked.number, holds};
 }
 
-void StoreRegistry::held(const std::string& voter, const StoreRecordHeld& answer, Nanos now) {
+void StoreRegistry::held(const std::string& voter, const StoreRecordHeld& answer, Nanoseconds now) {
     const auto found = pending_.find(answer.number);
     if (answer.life != life_ || found == pending_.end()) return;
     if (!answer.other) {
@@ -259,7 +260,7 @@
         takeLeft(again.call, again.name, again.until, now);
 }
 
-void StoreRegistry::news(const std::string& name, const board::Record& record, Nanos now) {
+void StoreRegistry::news(const std::string& name, const board::Record& record, Nanoseconds now) {
     if (!name.starts_with("store/")) return;
     Life& life = lives_[name];
     life.heardAt = now;
@@ -274,11 +275,11 @@
         begin(said, since, now);
     }
     life.number = std::max(life.number, record.version.minor);
-    life.slowUntil(now + millis(coldLeftOf(record)));
+    life.slowUntil(now + milliseconds(coldLeftOf(record)));
 }
 
 // What the board has dropped altogether is dropped here too.
-void StoreRegistry::forgetUnknown(Nanos now) {
+void StoreRegistry::forgetUnknown(Nanoseconds now) {
     if (now - forgotAt_ < lateAfter_) return;
     forgotAt_ = now;
     const auto unknown = [this](const auto& each) { return !means_.board().find(each.first); };
@@ -286,7 +287,7 @@
     std::erase_if(confirmed_, unknown);
 }
 
-void StoreRegistry::tick(Nanos now) {
+void StoreRegistry::tick(Nanoseconds now) {
     // What came in while this process stood still is younger than it seems.
     if (now - tickedAt_ > stalled)
         for (auto& [name, life] : lives_) life.heardAt = now;
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -15,7 +15,7 @@
 #include "board/board.hpp"
 #include "control/outputs.hpp"
 #include "control/register.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::control {
 
@@ -67,31 +67,32 @@
         virtual void answerStore(std::uint64_t call, Kind kind) = 0;
     };
     // `life`: differs from that of every other process whose answers could come in.
-    StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means, Nanos now);
+    StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means,
+                  Nanoseconds now);
 
     // Calls of stores, to be passed on only while the member holds a lease. What no majority holds by `until`
     // is answered as failed.
-    void called(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now);
-    void left(std::uint64_t call, const std::string& id, Nanos until, Nanos now);
+    void called(std::uint64_t call, const StoreCall& said, Nanoseconds until, Nanoseconds now);
+    void left(std::uint64_t call, const std::string& id, Nanoseconds until, Nanoseconds now);
     // A question of another member. None: not to be answered, as this member may have forgotten what it held.
-    std::optional<StoreRecordHeld> hold(const StoreRecordReplicate& asked, Nanos now);
-    void held(const std::string& voter, const StoreRecordHeld& answer, Nanos now);
+    std::optional<StoreRecordHeld> hold(const StoreRecordReplicate& asked, Nanoseconds now);
+    void held(const std::string& voter, const StoreRecordHeld& answer, Nanoseconds now);
     // The whole board of this voter has been heard.
     void boardHeardFrom(const std::string& voter) { boardsHeard_.insert(voter); }
-    void news(const std::string& name, const board::Record& record, Nanos now);
-    void tick(Nanos now);
+    void news(const std::string& name, const board::Record& record, Nanoseconds now);
+    void tick(Nanoseconds now);
 
     // The longest that a call is counted for.
-    static constexpr Nanos heldWithin = millis(850);
+    static constexpr Nanoseconds heldWithin = milliseconds(850);
     // A question that was not answered is sent again; what it asks is the same.
-    static constexpr Nanos askAgain = millis(250);
+    static constexpr Nanoseconds askAgain = milliseconds(250);
     // Where a majority of the others does not come, a member that started answers for a majority that counts
     // itself, once all that was asked before its start has ended and links were made anew.
-    static constexpr Nanos boardsWithin = heldWithin + millis(700);
+    static constexpr Nanoseconds boardsWithin = heldWithin + milliseconds(700);
     // A call of one life of a store that is under way for so many beats is taken to have been lost.
     static constexpr int lateBeats = 5;
     // A process that did nothing for longer can't tell a store's silence from its own.
-    static constexpr Nanos stalled = millis(1000);
+    static constexpr Nanoseconds stalled = milliseconds(1000);
 
 private:
     enum class Verdict { unchanged, overtaken, changed, newLife };
@@ -100,9 +101,9 @@
         std::string address, edition, formerAddress, formerEdition;
         std::uint64_t since = 0;   // the version's major part at which the life began
         std::uint64_t number = 0;  // the highest heard
-        Nanos heardAt = 0, formerUntil = 0;
-        std::optional<Nanos> warmAt;  // when the store's slow start is over
-        void slowUntil(Nanos at) { warmAt = std::min(warmAt.value_or(at), at); }
+        Nanoseconds heardAt = 0, formerUntil = 0;
+        std::optional<Nanoseconds> warmAt;  // when the store's slow start is over
+        void slowUntil(Nanoseconds at) { warmAt = std::min(warmAt.value_or(at), at); }
     };
     // A record whose holders are being counted, for a store that waits for its answer.
     struct Pending {
@@ -111,24 +112,24 @@
         std::string name;
         board::Record record;
         std::set<std::string> holders;
-        Nanos until = 0, askedAt = 0;
+        Nanoseconds until = 0, askedAt = 0;
     };
-    Verdict judge(const StoreCall& said, const board::Record* known, Nanos now) const;
-    bool startedAnew(const StoreCall& said, const Life& life, Nanos now) const;
-    void take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now);
-    void takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now);
-    void begin(const StoreCall& said, std::uint64_t since, Nanos now);
-    void confirm(Pending pending, Nanos now);
-    void ask(std::uint64_t number, Pending& pending, Nanos now);
+    Verdict judge(const StoreCall& said, const board::Record* known, Nanoseconds now) const;
+    bool startedAnew(const StoreCall& said, const Life& life, Nanoseconds now) const;
+    void take(std::uint64_t call, const StoreCall& said, Nanoseconds until, Nanoseconds now);
+    void takeLeft(std::uint64_t call, const std::string& name, Nanoseconds until, Nanoseconds now);
+    void begin(const StoreCall& said, std::uint64_t since, Nanoseconds now);
+    void confirm(Pending pending, Nanoseconds now);
+    void ask(std::uint64_t number, Pending& pending, Nanoseconds now);
     bool settle(std::uint64_t number);
-    bool remembers(Nanos now) const;
-    void forgetUnknown(Nanos now);
+    bool remembers(Nanoseconds now) const;
+    void forgetUnknown(Nanoseconds now);
 
     const std::string self_, life_;
-    const Nanos lateAfter_;
+    const Nanoseconds lateAfter_;
     Means& means_;
-    const Nanos startedAt_;
-    Nanos tickedAt_, forgotAt_;
+    const Nanoseconds startedAt_;
+    Nanoseconds tickedAt_, forgotAt_;
     std::set<std::string> boardsHeard_;
     std::map<std::string, Life> lives_;                // by the record's name
     std::map<std::string, board::Version> confirmed_;  // what a majority was seen to hold
--- a/src/control/succession.cpp
+++ b/src/control/succession.cpp
@@ -14,30 +14,30 @@
 // again, and leads on if it answers.
 constexpr int checkWithin_ms = 150;
 // A lead that was found well is not looked at again for this long, whoever complains.
-constexpr Nanos believed = millis(400);
+constexpr Nanoseconds believed = milliseconds(400);
 // Asks that got no answer are made again after this.
-constexpr Nanos askAgain = millis(250);
+constexpr Nanoseconds askAgain = milliseconds(250);
 // A call to the platform without an answer is reset after this, so that it arrives by then or never.
 constexpr int postWithin_ms = 1200;
 // "Some hundred ms" after the platform has taken a promotion the store leads, and says so; at most this.
-constexpr Nanos promotedWithin = millis(1000);
+constexpr Nanoseconds promotedWithin = milliseconds(1000);
 // A promotion that has not shown by then is begun anew, under a higher fence.
-constexpr Nanos risesWithin = millis(2500);
+constexpr Nanoseconds risesWithin = milliseconds(2500);
 // A lead that asks for its term, and one under suspicion, are given up after this.
-constexpr Nanos asksWithin = millis(2000);
+constexpr Nanoseconds asksWithin = milliseconds(2000);
 // A change of the register ends sooner, with or without a majority.
-constexpr Nanos guardsWithin = millis(3000);
+constexpr Nanoseconds guardsWithin = milliseconds(3000);
 // Replicas that were heard as paused are paused again after this, as one may have been started anew.
-constexpr Nanos verifiesWithin = millis(1000);
+constexpr Nanoseconds verifiesWithin = milliseconds(1000);
 // A planned target that doesn't get what the others have by then is given up, so that those receive again.
-constexpr Nanos catchesUpWithin = millis(3000);
+constexpr Nanoseconds catchesUpWithin = milliseconds(3000);
 // A replica that doesn't answer its RESUME has most likely crashed, and is asked ever less often.
-constexpr Nanos resumeSeldom = millis(4000);
+constexpr Nanoseconds resumeSeldom = milliseconds(4000);
 // The platform called the promotion a conflict: the registers and the stores' beats show why by then.
-constexpr Nanos quietAfterConflict = millis(300);
-constexpr Nanos quietAfterStandDown = millis(1000);
+constexpr Nanoseconds quietAfterConflict = milliseconds(300);
+constexpr Nanoseconds quietAfterStandDown = milliseconds(1000);
 // A promoted store's beat comes at once; its first STATUS waits this much for it.
-constexpr Nanos beatShows = millis(50);
+constexpr Nanoseconds beatShows = milliseconds(50);
 }  // namespace
 
 PromotionAnswer promotionAnswerOf(int status) {
@@ -55,7 +55,7 @@
     }
 }
 
-Succession::Succession(std::string self, std::string service, Nanos lease, Means& means,
+Succession::Succession(std::string self, std::string service, Nanoseconds lease, Means& means,
                        PlatformGuarantees platform)
     : self_(std::move(self)),
       service_(std::move(service)),
@@ -70,19 +70,19 @@
     return names[static_cast<int>(phase_)];
 }
 
-Nanos Succession::confirmedFor() const {
-    return std::max<Nanos>(0, lease_ - driftOfClocks - millis(statementWithin_ms));
+Nanoseconds Succession::confirmedFor() const {
+    return std::max<Nanoseconds>(0, lease_ - driftOfClocks - milliseconds(statementWithin_ms));
 }
 
-Nanos Succession::waitsBeforePromotion() const {
-    Nanos wait = lease_;
+Nanoseconds Succession::waitsBeforePromotion() const {
+    Nanoseconds wait = lease_;
     // A promotion that was taken already must show before another store is chosen.
-    const Nanos shows = tookOver_ ? promotedWithin : 0;
+    const Nanoseconds shows = tookOver_ ? promotedWithin : 0;
     wait = std::max(wait, shows + driftOfClocks);
     if (!predecessor_) return wait;
     // What the predecessor called rested on a confirmation begun before this owner's write stood.
     const bool mustHaveArrived = tookOver_ || !platform_.fenceChecked || platform_.lease > 0;
-    const Nanos arrived = mustHaveArrived ? millis(postWithin_ms) : 0;
+    const Nanoseconds arrived = mustHaveArrived ? milliseconds(postWithin_ms) : 0;
     return std::max(wait, confirmedFor() + arrived + shows + driftOfClocks + platform_.lease);
 }
 
@@ -120,20 +120,20 @@
     return {all.begin(), all.end()};
 }
 
-void Succession::to(Phase phase, Nanos now) {
+void Succession::to(Phase phase, Nanoseconds now) {
     phase_ = phase;
     since_ = now;
 }
 
 // STATUS changes nothing and may leave whenever; PAUSE and RESUME only while what they rest on is confirmed.
-void Succession::ask(const std::string& store, Statement what, const std::string& text, Nanos now) {
+void Succession::ask(const std::string& store, Statement what, const std::string& text, Nanoseconds now) {
     const Json* body = record(store);
     if (!body) return;
     const bool changes = what != Statement::status;
     const std::uint64_t no = means_.nextAsk(*this);
     asks_[no] = Ask{store, what, now};
     const int within_ms = phase_ == Phase::checking ? checkWithin_ms : statementWithin_ms;
-    const Nanos notAfter = changes ? confirmedAt_.value_or(0) + confirmedFor() : anyTime;
+    const Nanoseconds notAfter = changes ? confirmedAt_.value_or(0) + confirmedFor() : anyTime;
     means_.outputs().push_back(
         ToStore{no, store, service_, body->value("address", ""), text, within_ms, notAfter});
 }
@@ -147,23 +147,23 @@
 }
 
 // Ends whatever is under way and changes nothing outside.
-void Succession::abandon(const std::string& why, Nanos now) {
+void Succession::abandon(const std::string& why, Nanoseconds now) {
     if (phase_ != Phase::idle) log(why);
     beginAttempt();
     toResume_.clear();
     to(Phase::idle, now);
 }
 
-void Succession::confirm(const Lead& lead, Nanos now) {
+void Succession::confirm(const Lead& lead, Nanoseconds now) {
     if (confirming_) return;
     confirming_ = true;
-    const auto ended = [this, begun = now, attempt = attempt_](Confirmation confirmation, Nanos at) {
+    const auto ended = [this, begun = now, attempt = attempt_](Confirmation confirmation, Nanoseconds at) {
         if (attempt == attempt_) confirmationEnded(confirmation, begun, at);
     };
     means_.confirm(service_, lead, ended);
 }
 
-void Succession::confirmationEnded(Confirmation confirmation, Nanos begun, Nanos now) {
+void Succession::confirmationEnded(Confirmation confirmation, Nanoseconds begun, Nanoseconds now) {
     confirming_ = false;
     if (confirmation == Confirmation::replaced) return abandon("replaced by another owner's change", now);
     if (confirmation == Confirmation::unknown || !mine_) return;  // tick() asks again, where it still owns
@@ -175,13 +175,13 @@
 }
 
 // What another began and did not end is taken over by tick().
-void Succession::own(bool mine, Nanos now) {
+void Succession::own(bool mine, Nanoseconds now) {
     if (mine == mine_) return;
     mine_ = mine;
     if (!mine) abandon("left to another member", now);
 }
 
-void Succession::suspected(const std::string& store, Nanos now) {
+void Succession::suspected(const std::string& store, Nanoseconds now) {
     const auto lead = known();
     if (!mine_ || phase_ != Phase::idle || !lead || lead->store != store || now < quietUntil_) return;
     beginAttempt();
@@ -189,7 +189,7 @@
     ask(store, Statement::status, "STATUS", now);
 }
 
-void Succession::tick(Nanos now) {
+void Succession::tick(Nanoseconds now) {
     noteYoung(now);
     if (!mine_ || changing_) return;
     switch (phase_) {
@@ -214,7 +214,7 @@
 }
 
 // Idle: from the start or the end of a succession until one is due.
-void Succession::tickIdle(Nanos now) {
+void Succession::tickIdle(Nanoseconds now) {
     const auto lead = known();
     if (!lead) {
         if (now - askedAt_ >= askAgain) found(now);
@@ -232,7 +232,7 @@
 
 // An owner that died behind its last write may have left replicas paused, also some that were not on record
 // then. Each is resumed once by each life that owns the lead of a fence.
-void Succession::resumeReplicas(const Lead& lead, Nanos now) {
+void Succession::resumeReplicas(const Lead& lead, Nanoseconds now) {
     if (lead.fence == 0) return;  // nobody was ever paused
     if (lead.fence != resumedFence_) resumed_.clear();
     resumedFence_ = lead.fence;
@@ -245,7 +245,7 @@
 }
 
 // Founding: no lead is on record. From the question to the store that says it leads until its answer.
-void Succession::found(Nanos now) {
+void Succession::found(Nanoseconds now) {
     for (const std::string& store : listed()) {
         const Json* body = record(store);
         if (body->value("role", "") != "head_office") continue;
@@ -256,7 +256,7 @@
     }
 }
 
-void Succession::founded(const Ask& asked, const std::optional<StoreRow>& row, Nanos now) {
+void Succession::founded(const Ask& asked, const std::optional<StoreRow>& row, Nanoseconds now) {
     to(Phase::idle, now);
     if (!row || !row->primary) return;
     Lead lead;
@@ -276,7 +276,7 @@
 }
 
 // Checking: from a front's complaint until the lead's answer. Another store may lead by then.
-void Succession::checked(const Ask& asked, const std::optional<StoreRow>& row, Nanos now) {
+void Succession::checked(const Ask& asked, const std::optional<StoreRow>& row, Nanoseconds now) {
     to(Phase::idle, now);
     const auto lead = known();
     if (!lead || lead->store != asked.store) return;
@@ -287,7 +287,7 @@
 // Guarding: from the beginning of a succession until a majority holds that the lead may change. From a lease
 // later on no front reads from the old lead without proof. The fence grows each time, so that what an earlier
 // owner, life or attempt still sends is of a lower one.
-void Succession::guard(Nanos now, bool planned) {
+void Succession::guard(Nanoseconds now, bool planned) {
     const auto lead = known();
     if (!lead) return;
     beginAttempt();
@@ -327,7 +327,7 @@
 
 // Pausing: from the register's write until enough replicas were heard to stand still, asked for after the
 // wait, or until the old primary turns out to be well, or another to lead already.
-void Succession::tickPausing(Nanos now) {
+void Succession::tickPausing(Nanoseconds now) {
     if (guardedAt_ == 0) guardedAt_ = since_ = now;
     if (planned_ && target_.empty() && !chooseTarget()) return standDown(now);
     if (planned_ && now - guardedAt_ > waitsBeforePromotion() + catchesUpWithin) {
@@ -345,7 +345,7 @@
     return !target_.empty();
 }
 
-void Succession::askAll(Nanos now) {
+void Succession::askAll(Nanoseconds now) {
     askedAt_ = now;
     if (!planned_) ask(lead_.store, Statement::status, "STATUS", now);
     if (verifyingSince_ == 0) {
@@ -360,7 +360,7 @@
 
 // Each PAUSE has a term of its own, above all before: it is never said twice, and its row shows that the
 // replica stands still since.
-void Succession::pauseReplicas(Nanos now) {
+void Succession::pauseReplicas(Nanoseconds now) {
     askedAt_ = now;
     ++pauseTerm_;
     if (planned_ && !leadHas_) ask(lead_.store, Statement::status, "STATUS", now);
@@ -373,12 +373,12 @@
     }
 }
 
-void Succession::pause(const std::string& store, Nanos now) {
-    pausesOverAt_ = *confirmedAt_ + confirmedFor() + millis(statementWithin_ms);
+void Succession::pause(const std::string& store, Nanoseconds now) {
+    pausesOverAt_ = *confirmedAt_ + confirmedFor() + milliseconds(statementWithin_ms);
     ask(store, Statement::pause, "PAUSE " + std::to_string(pauseTerm_), now);
 }
 
-void Succession::rowWhilePausing(const Ask& asked, const std::optional<StoreRow>& row, Nanos now) {
+void Succession::rowWhilePausing(const Ask& asked, const std::optional<StoreRow>& row, Nanoseconds now) {
     if (!row) {
         // Perhaps a later term was said to it before, or it leads by now: it is asked for the term it holds.
         if (asked.what == Statement::pause) ask(asked.store, Statement::status, "STATUS", now);
@@ -402,7 +402,7 @@
 
 // It lives and leads on, if no promotion can be under way: one that an earlier owner or attempt asked for has
 // shown when the wait is over.
-void Succession::rowOfOldPrimary(const Ask& asked, const StoreRow& row, Nanos now) {
+void Succession::rowOfOldPrimary(const Ask& asked, const StoreRow& row, Nanoseconds now) {
     if (!row.primary || row.term != lead_.term) return;
     if (planned_) {
         if (!leadHas_) leadHas_ = row.received;
@@ -419,7 +419,7 @@
 }
 
 // Only one store leads in a term: the lead crashed, nothing was promoted, and it is back with its log.
-void Succession::leadUnderAnotherName(const Ask& asked, Nanos now) {
+void Succession::leadUnderAnotherName(const Ask& asked, Nanoseconds now) {
     if (!leadsOn(asked)) return;
     log(lead_.store + " is back as " + asked.store + " and leads on");
     Lead next = lead_;
@@ -432,7 +432,7 @@
 
 // Replicas are paused only behind the wait: what an earlier owner said to them is over by now, so only a
 // restart can set them going again.
-void Succession::verify(Nanos now) {
+void Succession::verify(Nanoseconds now) {
     verifyingSince_ = now;
     asks_.clear();
     rows_.clear();
@@ -499,7 +499,7 @@
 
 // Promotes where all that must be heard were heard, no front can still believe in the old lead, and no
 // earlier owner's call can still arrive where that matters.
-void Succession::weigh(Nanos now) {
+void Succession::weigh(Nanoseconds now) {
     if (guardedAt_ == 0 || now - guardedAt_ < waitsBeforePromotion()) return;
     if (verifyingSince_ == 0 || now - verifyingSince_ > verifiesWithin) return verify(now);
     if (!enoughHeard()) return;
@@ -519,7 +519,7 @@
 
 // Promoting: from the choice of the target until the platform has taken its promotion. Within an attempt
 // only this target is asked for; another one needs a new attempt and so a new fence.
-void Succession::tickPromoting(Nanos now) {
+void Succession::tickPromoting(Nanoseconds now) {
     if (posting_ != 0) return;
     if (now - verifyingSince_ <= verifiesWithin) {
         if (now - postedAt_ >= askAgain) post(now);
@@ -532,7 +532,7 @@
 }
 
 // The call leaves only while the confirmation that it rests on is fresh, and never beside another of ours.
-void Succession::post(Nanos now) {
+void Succession::post(Nanoseconds now) {
     if (posting_ != 0) return;
     if (now - verifyingSince_ > verifiesWithin) return;
     if (!confirmed(now)) return confirm(lead_, now);
@@ -545,7 +545,7 @@
                                           *confirmedAt_ + confirmedFor()});
 }
 
-void Succession::promoted(std::uint64_t no, PromotionAnswer answer, Nanos now) {
+void Succession::promoted(std::uint64_t no, PromotionAnswer answer, Nanoseconds now) {
     if (no != posting_) return;
     posting_ = 0;
     postedAt_ = now;
@@ -560,7 +560,7 @@
 }
 
 // Rising: from the platform's answer until the target's beat says that it leads, or a while has passed.
-void Succession::tickRising(Nanos now) {
+void Succession::tickRising(Nanoseconds now) {
     const Json* body = record(target_);
     const bool shows = body && body->value("role", "") == "head_office" && now - since_ > beatShows;
     if (!shows && now - since_ <= risesWithin) return;
@@ -570,14 +570,14 @@
 }
 
 // Settling: until the target itself answers that it leads, and in which term.
-void Succession::tickSettling(Nanos now) {
+void Succession::tickSettling(Nanoseconds now) {
     if (now - since_ > risesWithin) return guard(now, planned_);
     if (now - askedAt_ < askAgain) return;
     askedAt_ = now;
     ask(target_, Statement::status, "STATUS", now);
 }
 
-void Succession::answered(std::uint64_t no, std::optional<StoreRow> row, Nanos now) {
+void Succession::answered(std::uint64_t no, std::optional<StoreRow> row, Nanoseconds now) {
     const auto at = asks_.find(no);
     if (at == asks_.end()) return;  // of an earlier attempt
     const Ask asked = at->second;
@@ -606,7 +606,7 @@
     }
 }
 
-void Succession::settle(const std::string& store, std::uint64_t term, Nanos now) {
+void Succession::settle(const std::string& store, std::uint64_t term, Nanoseconds now) {
     Lead next = lead_;
     next.replicas.insert(lead_.store);
     next.replicas.erase(store);
@@ -621,13 +621,13 @@
 }
 
 // Nothing was promoted: replicas go on, and the lead is as it was.
-void Succession::standDown(Nanos now) {
+void Succession::standDown(Nanoseconds now) {
     quietUntil_ = now + quietAfterStandDown;
     becomeSteady(lead_, now);
 }
 
 // Replicas are resumed only once it stands that the lead is steady: a later owner may have paused them.
-void Succession::becomeSteady(Lead next, Nanos now) {
+void Succession::becomeSteady(Lead next, Nanoseconds now) {
     beginAttempt();
     next.steady = true;
     ++next.seq;
@@ -654,7 +654,7 @@
 }
 
 // RESUME changes nothing where a replica receives, so it is said again until it was answered.
-void Succession::resume(Nanos now) {
+void Succession::resume(Nanoseconds now) {
     std::erase_if(toResume_, [&](const std::string& store) { return !record(store); });
     for (const std::string& store : toResume_) ask(store, Statement::resume, "RESUME", now);
 }
--- a/src/control/succession_replicas.cpp
+++ b/src/control/succession_replicas.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 // A store that has left ends within this: it waits no longer for its call's answer.
-constexpr Nanos endsWithin = millis(1000);
+constexpr Nanoseconds endsWithin = milliseconds(1000);
 // How often it is looked whether those that stay have what one that left had.
-constexpr Nanos releaseAgain = millis(500);
+constexpr Nanoseconds releaseAgain = milliseconds(500);
 // How often it is looked which replicas are young.
-constexpr Nanos noteAgain = millis(1000);
+constexpr Nanoseconds noteAgain = milliseconds(1000);
 // Of this many released replicas it is kept where their logs pass on; beyond, their heirs are young.
 constexpr std::size_t vacatedMost = 16;
 }  // namespace
@@ -49,7 +49,7 @@
 // Who belongs to the service is kept with the lead, as after a loss only that tells who must be heard. One
 // that the registry lacks may only not have called yet; one that left may have the only copy of a commit:
 // both stay, until release().
-void Succession::updateReplicas(const Lead& lead, Nanos now) {
+void Succession::updateReplicas(const Lead& lead, Nanoseconds now) {
     std::set<std::string> replicas = lead.replicas;
     for (const std::string& store : listed()) replicas.insert(store);
     std::erase_if(replicas, [&](const std::string& store) { return isOrWas(store, lead); });
@@ -87,7 +87,7 @@
 }
 
 // Each member counts for how long replicas have been on record, so that the next owner knows it, too.
-void Succession::noteYoung(Nanos now) {
+void Succession::noteYoung(Nanoseconds now) {
     if (now - notedAt_ < noteAgain) return;
     notedAt_ = now;
     const board::Record* found = means_.board().find("lead/" + service_);
@@ -96,7 +96,8 @@
 }
 
 // Of the replicas to be on record next those that are young, with their ages.
-YoungReplicas Succession::youngOf(const std::set<std::string>& replicas, const Lead& lead, Nanos now) const {
+YoungReplicas Succession::youngOf(const std::set<std::string>& replicas, const Lead& lead,
+                                  Nanoseconds now) const {
     YoungReplicas young;
     for (const std::string& store : replicas) {
         const bool isNew = !lead.replicas.count(store);
@@ -120,7 +121,7 @@
 
 // A replica that left counts for the synchronous ones until it has ended, and takes its log along. When it
 // has ended, the primary is asked how far it is, then the replicas that stay.
-void Succession::askForRelease(const Lead& lead, Nanos now) {
+void Succession::askForRelease(const Lead& lead, Nanoseconds now) {
     if (goneSince_ == 0) goneSince_ = now;
     if (now - goneSince_ < endsWithin || now - askedAt_ < releaseAgain) return;
     askedAt_ = now;
@@ -129,7 +130,7 @@
 }
 
 // What the primary has is on as many of those that stay as are synchronous: those that left are released.
-void Succession::rowForRelease(const Ask& asked, const StoreRow& row, Nanos now) {
+void Succession::rowForRelease(const Ask& asked, const StoreRow& row, Nanoseconds now) {
     const auto lead = known();
     if (!lead || !lead->steady || changing_ || asked.what != Statement::status) return;
     std::set<std::string> staying;
--- a/src/control/unsettled_leads.cpp
+++ b/src/control/unsettled_leads.cpp
@@ -23,7 +23,7 @@
         held_.erase(service);
 }
 
-void UnsettledLeads::told(const LeadMarks& marks, Nanos now) {
+void UnsettledLeads::told(const LeadMarks& marks, Nanoseconds now) {
     std::erase_if(told_, [&](const auto& each) { return each.second.until <= now; });
     for (const auto& [service, sequence] : marks) {
         Told& told = told_[service];
@@ -39,7 +39,7 @@
     return marks;
 }
 
-LeadMarks UnsettledLeads::all(const board::Board& board, Nanos now) const {
+LeadMarks UnsettledLeads::all(const board::Board& board, Nanoseconds now) const {
     LeadMarks marks = own(board);
     for (const auto& [service, told] : told_) {
         if (told.until <= now || told.sequence <= sequenceOn(board, service)) continue;
--- a/src/control/unsettled_leads.hpp
+++ b/src/control/unsettled_leads.hpp
@@ -18,12 +18,12 @@
     void holds(const std::string& name, const Json& value);
     // What a voter answered. It stands until the board has the change, or as long as a lease can rest on
     // that answer.
-    void told(const LeadMarks& marks, Nanos now);
+    void told(const LeadMarks& marks, Nanoseconds now);
 
     // As this member answers a round: accepted here, and unsteady or newer than the board.
     LeadMarks own(const board::Board& board) const;
     // As it tells those under its lease: its own and those told.
-    LeadMarks all(const board::Board& board, Nanos now) const;
+    LeadMarks all(const board::Board& board, Nanoseconds now) const;
 
 private:
     struct Held {
@@ -32,7 +32,7 @@
     };
     struct Told {
         std::uint64_t sequence = 0;
-        Nanos until = 0;
+        Nanoseconds until = 0;
     };
     std::map<std::string, Held> held_;
     std::map<std::string, Told> told_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -33,9 +33,9 @@
 
 int check(const Station& station, const Fittings& fittings) {
     std::cout << station.name << ": listens on " << station.listen << ", discovery at " << station.discovery
-              << ", " << station.opening.charter.lanes.size() << " lanes, front "
-              << station.opening.charter.front + 1 << " of " << station.opening.charter.fronts << ", "
-              << (station.memory >> 20) << " MB, " << station.descriptors << " descriptors\n";
+              << ", " << station.opening.charter.classes.size() << " lanes, front "
+              << station.opening.charter.proxyIndex + 1 << " of " << station.opening.charter.proxyCount
+              << ", " << (station.memory >> 20) << " MB, " << station.descriptors << " descriptors\n";
     if (fittings.has_tls_to_stores()) {
         const granitereel::tls::Trust trust(fittings.tls_to_stores(), std::time(nullptr));
         std::cout << station.name << ": TLS to stores, expects '" << fittings.tls_to_stores().expected_name()
--- a/src/memory/clients.cpp
+++ b/src/memory/clients.cpp
@@ -15,7 +15,7 @@
 
 void Client::leaveTable() {
     if (!kept) return;
-    kept->places_.leaves(seat);
+    kept->places_.removeClient(seat);
     kept->bySeat_.erase(seat);
     std::exchange(kept, nullptr)->all_.erase(place);
 }
@@ -39,7 +39,7 @@
 
 void Client::prove() {
     proven = true;
-    if (kept) kept->places_.asks(seat, kept->clock_.now());
+    if (kept) kept->places_.requestReceived(seat, kept->clock_.now());
     if (inbox.unread().empty()) sayBy = never;
 }
 
@@ -52,7 +52,7 @@
 
 void ClientTable::add(Client& client) {
     client.kept = this;
-    client.seat = places_.comes(clock_.now());
+    client.seat = places_.addClient(clock_.now());
     client.place = all_.insert(all_.end(), &client);
     bySeat_[client.seat] = &client;
 }
@@ -62,9 +62,9 @@
     if (!client.kept) return;
     const bool atRest = !client.busy && client.waiting.empty() && client.inbox.unread().empty();
     if (atRest)
-        places_.rests(client.seat, clock_.now());
+        places_.becameIdle(client.seat, clock_.now());
     else
-        places_.stirs(client.seat, clock_.now());
+        places_.partialRequestReceived(client.seat, clock_.now());
 }
 
 bool ClientTable::makeWay(Choice choice) {
@@ -72,7 +72,7 @@
     while (const auto seat = (places_.*choice)(clock_.now())) {
         Client& client = *bySeat_.at(*seat);
         if (!client.quiet()) {
-            places_.stirs(*seat, clock_.now());
+            places_.partialRequestReceived(*seat, clock_.now());
             continue;
         }
         client.close();
@@ -83,15 +83,15 @@
 }
 
 bool ClientTable::hasPlace() {
-    return !places_.full() || makeWay(&Places::givesPlace);
+    return !places_.isFull() || makeWay(&DescriptorBudget::clientToMakeRoom);
 }
 
 bool ClientTable::admits() {
-    return places_.admits() || makeWay(&Places::givesTurn);
+    return places_.mayAdmitRequest() || makeWay(&DescriptorBudget::clientToYieldRequest);
 }
 
 void ClientTable::relieve() {
-    while (makeWay(&Places::relieves)) {
+    while (makeWay(&DescriptorBudget::clientToRelievePressure)) {
     }
 }
 
--- a/src/memory/clients.hpp
+++ b/src/memory/clients.hpp
@@ -10,15 +10,15 @@
 #include <unordered_map>
 
 #include "clock.hpp"
+#include "descriptors/descriptor_budget.hpp"
 #include "inbox.hpp"
-#include "places/places.hpp"
 
 namespace granitereel {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-class Ticket;
+class TransactionHandle;
 class ClientTable;
 
 // What a client has asked for and what waits for its turn; a fault is the last thing that is answered.
@@ -41,12 +41,13 @@
     void close();
     // It has asked for something that could be taken in hand.
     void prove();
-    // Nothing more is asked of the front here than what it is answering, not even in bytes that it has yet to read.
+    // Nothing more is asked of the front here than what it is answering, not even in bytes that it has yet to
+    // read.
     bool asksNoMore();
     // Nothing is asked of the front here.
     bool quiet() { return !busy && asksNoMore(); }
-    // While on, the end of what is written stays in the system's buffer, for the end of the connection to leave with
-    // it. What is held for 200 ms leaves all the same.
+    // While on, the end of what is written stays in the system's buffer, for the end of the connection to
+    // leave with it. What is held for 200 ms leaves all the same.
     void holdBack(bool on);
     bool quietFor(std::chrono::milliseconds span) { return heard <= Steady::now() - span && quiet(); }
     bool unread();
@@ -58,7 +59,7 @@
     std::deque<Asked> waiting;
     std::size_t waitingBytes = 0;
     asio::steady_timer bell;  // rings when something is asked, answered or over
-    std::shared_ptr<Ticket> inHand;
+    std::shared_ptr<TransactionHandle> inHand;
     bool busy = false, gone = false;
     bool proven = false;
     bool deaf = false;    // it gets a last answer, and what it says from then on is passed over
@@ -68,14 +69,14 @@
     // When the table closes it: what it must have said by then, what it must have taken.
     Steady::time_point sayBy = never, takeBy = never;
     ClientTable* kept = nullptr;
-    Places::Seat seat = 0;
+    DescriptorBudget::ClientId seat = 0;
     std::list<Client*>::iterator place;
 };
 
 // All clients. It tells their places what they do, and closes those that these name.
 class ClientTable {
 public:
-    ClientTable(Places& places, const Clock& clock) : places_(places), clock_(clock) {}
+    ClientTable(DescriptorBudget& places, const Clock& clock) : places_(places), clock_(clock) {}
     void add(Client& client);
     // Something has come from it, or was written to it.
     void touch(Client& client);
@@ -90,12 +91,12 @@
 
 private:
     friend struct Client;
-    using Choice = std::optional<Places::Seat> (Places::*)(Nanos);
+    using Choice = std::optional<DescriptorBudget::ClientId> (DescriptorBudget::*)(Nanoseconds);
     bool makeWay(Choice choice);
-    Places& places_;
+    DescriptorBudget& places_;
     const Clock& clock_;
     std::list<Client*> all_;
-    std::unordered_map<Places::Seat, Client*> bySeat_;
+    std::unordered_map<DescriptorBudget::ClientId, Client*> bySeat_;
 };
 
 }  // namespace granitereel
--- a/src/memory/clock.hpp
+++ b/src/memory/clock.hpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "front.hpp"
+#include "router.hpp"
 
 namespace granitereel {
 
@@ -13,20 +13,20 @@
 public:
     using Steady = std::chrono::steady_clock;
 
-    Nanos now() const { return unix_ + since(Steady::now() - steady_); }
-    Steady::time_point at(Nanos when) const {
+    Nanoseconds now() const { return unix_ + since(Steady::now() - steady_); }
+    Steady::time_point at(Nanoseconds when) const {
         // A year ahead stands for never: what lies further would not fit the steady clock.
-        constexpr Nanos year = millis(365ll * 24 * 3600 * 1000);
+        constexpr Nanoseconds year = milliseconds(365ll * 24 * 3600 * 1000);
         return steady_ + std::chrono::nanoseconds(std::clamp(when - unix_, -year, year));
     }
 
 private:
     template <class Duration>
-    static Nanos since(Duration d) {
+    static Nanoseconds since(Duration d) {
         return std::chrono::duration_cast<std::chrono::nanoseconds>(d).count();
     }
     Steady::time_point steady_ = Steady::now();
-    Nanos unix_ = since(std::chrono::system_clock::now().time_since_epoch());
+    Nanoseconds unix_ = since(std::chrono::system_clock::now().time_since_epoch());
 };
 
 }  // namespace granitereel
--- a/src/memory/stores.cpp
+++ b/src/memory/stores.cpp
@@ -89,7 +89,7 @@
 }
 
 std::shared_ptr<Line> LinePool::make(const std::string& store, Budget& budget) {
-    if (!places_.mayOpenLine(open_) && !dropOldest()) return nullptr;
+    if (!places_.mayOpenStoreConnection(open_) && !dropOldest()) return nullptr;
     return std::make_shared<Line>(on_, store, budget, open_);
 }
 
--- a/src/memory/stores.hpp
+++ b/src/memory/stores.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
+#include "descriptors/descriptor_budget.hpp"
 #include "inbox.hpp"
-#include "places/places.hpp"
 
 namespace granitereel {
 
@@ -68,7 +68,7 @@
 // The connections that wait for their next statement.
 class LinePool {
 public:
-    LinePool(asio::any_io_executor on, const Places& places, std::int64_t idleLimit)
+    LinePool(asio::any_io_executor on, const DescriptorBudget& places, std::int64_t idleLimit)
         : on_(on), places_(places), idleLimit_(idleLimit) {}
 
     // The one used last, if the store still holds it; null if there is none.
@@ -78,7 +78,7 @@
     void put(std::shared_ptr<Line> line, std::int64_t now);
     void hangUp(const std::string& store) { idle_.erase(store); }
     // Where a client needs the place of a connection, the one idle longest goes; false where none is idle.
-    bool makeWay() { return !places_.lineMakesWay(open_) || dropOldest(); }
+    bool makeWay() { return !places_.mustCloseStoreConnection(open_) || dropOldest(); }
     // Lets go of those that the store has closed or soon will.
     void sweep(std::int64_t now);
     std::size_t open() const { return open_; }
@@ -93,7 +93,7 @@
     bool dropOldest();
 
     asio::any_io_executor on_;
-    const Places& places_;
+    const DescriptorBudget& places_;
     std::size_t open_ = 0;
     std::int64_t idleLimit_;
     std::map<std::string, std::vector<std::shared_ptr<Line>>> idle_;
--- a/src/owners/clerk.cpp
+++ b/src/owners/clerk.cpp
@@ -5,13 +5,14 @@
 namespace granitereel::owners {
 
 Clerk::Clerk(tier::Members& members, const Electors& electors, const Terms& terms, std::uint64_t floor,
-             std::uint64_t seed, Nanos now, std::function<void(const std::string&)> log)
+             std::uint64_t seed, Nanoseconds now, std::function<void(const std::string&)> log)
     : Clerk(members, electors, terms, floor, seed, now, std::move(log),
             {[this] { return members_.in(tier::State::here); },
              [this] { return members_.sight(now_) >= tier::Sight::most; }}) {}
 
 Clerk::Clerk(tier::Members& members, const Electors& electors, const Terms& terms, std::uint64_t floor,
-             std::uint64_t seed, Nanos now, std::function<void(const std::string&)> log, Owners::View view)
+             std::uint64_t seed, Nanoseconds now, std::function<void(const std::string&)> log,
+             Owners::View view)
     : members_(members),
       log_(std::move(log)),
       now_(now),
@@ -25,31 +26,34 @@
     members_.tell(now_, member, {furtherKind, write(talk)});
 }
 
-void Clerk::received(Nanos now, int from, std::uint32_t birth, Nanos, const std::string& bytes) {
+void Clerk::received(Nanoseconds now, int from, std::uint32_t birth, Nanoseconds, const std::string& bytes) {
     now_ = now;
     if (const std::optional<Talk> talk = read(bytes)) owners_.heard(now, from, birth, *talk);
 }
 
-SeekClerk::SeekClerk(tier::Members& members, Nanos now, Seeker::Finder& finder)
+SeekClerk::SeekClerk(tier::Members& members, Nanoseconds now, Seeker::Finder& finder)
     : members_(members),
       now_(now),
       seeker_(
           members.me(),
           {[this] { return members_.in(tier::State::here); },
            [this] { return members_.sight(now_) >= tier::Sight::most; }},
-          [this](int member, const Seek& seek) { members_.tell(now_, member, {seekKind, write(seek)}); }, finder) {}
+          [this](int member, const Seek& seek) {
+              members_.tell(now_, member, {seekKind, write(seek)});
+          },
+          finder) {}
 
 int SeekClerk::kind() const {
     return seekKind;
 }
 
-void SeekClerk::received(Nanos now, int from, std::uint32_t, Nanos, const std::string& bytes) {
+void SeekClerk::received(Nanoseconds now, int from, std::uint32_t, Nanoseconds, const std::string& bytes) {
     now_ = now;
     if (const std::optional<Seek> seek = readSeek(bytes)) seeker_.heard(now, from, *seek);
 }
 
-WarmClerk::WarmClerk(tier::Members& members, Clerk& leases, const Warmer::Pace& pace, Nanos now, Warmer::Till& till,
-                     std::function<void(const std::string&)> log)
+WarmClerk::WarmClerk(tier::Members& members, Clerk& leases, const Warmer::Pace& pace, Nanoseconds now,
+                     Warmer::Till& till, std::function<void(const std::string&)> log)
     : members_(members),
       now_(now),
       warmer_(
@@ -57,7 +61,10 @@
           {[this] { return members_.in(tier::State::here); },
            [this] { return members_.sight(now_) >= tier::Sight::most; }},
           pace, till,
-          [this](int member, const Warm& warm) { members_.tell(now_, member, {warmKind, write(warm)}); }, std::move(log)) {
+          [this](int member, const Warm& warm) {
+              members_.tell(now_, member, {warmKind, write(warm)});
+          },
+          std::move(log)) {
     leases.onChange = [this](Key, bool) { warmer_.stir(); };
     leases.owners().givenOutFor = [this](Key key) { return warmer_.outFor(key); };
 }
@@ -66,7 +73,8 @@
     return warmKind;
 }
 
-void WarmClerk::received(Nanos now, int from, std::uint32_t birth, Nanos sent, const std::string& bytes) {
+void WarmClerk::received(Nanoseconds now, int from, std::uint32_t birth, Nanoseconds sent,
+                         const std::string& bytes) {
     now_ = now;
     if (const std::optional<Warm> warm = readWarm(bytes)) warmer_.heard(now, from, birth, sent, *warm);
 }
--- a/src/owners/elector.cpp
+++ b/src/owners/elector.cpp
@@ -8,8 +8,8 @@
 namespace granitereel::owners {
 
 namespace {
-// Keys are some for each store and group: a tier of 300 fronts has hundreds. Past this many the terms of the keys
-// that were not asked for longest are kept as one.
+// Keys are some for each store and group: a tier of 300 fronts has hundreds. Past this many the terms of the
+// keys that were not asked for longest are kept as one.
 constexpr std::size_t mostKeys = 4096;
 }  // namespace
 
@@ -18,18 +18,18 @@
     return XXH32(words, sizeof words, 0);
 }
 
-Elector::Elector(Nanos now, Nanos longestLease, std::uint32_t list)
+Elector::Elector(Nanoseconds now, Nanoseconds longestLease, std::uint32_t list)
     : longestLease_(longestLease),
       // Twice the drift: its own clock against the one that counted, and that one against the owner's.
       silentUntil_(now + longestLease + 2 * longestLease / driftPart),
       list_(list) {}
 
-void Elector::learn(Nanos now, std::uint64_t term) {
+void Elector::learn(Nanoseconds now, std::uint64_t term) {
     highest_ = std::max(highest_, term);
     if (silent(now)) floor_ = highest_;
 }
 
-Reply Elector::answer(Nanos now, int from, std::uint32_t birth, Nanos lease, const Ask& ask) {
+Reply Elector::answer(Nanoseconds now, int from, std::uint32_t birth, Nanoseconds lease, const Ask& ask) {
     const auto found = grants_.find(ask.key);
     Grant grant = found == grants_.end() ? Grant{-1, 0, floor_, 0} : found->second;
     const bool live = grant.until > now, its = grant.owner == from && grant.birth == birth;
@@ -41,7 +41,7 @@
     return {ask.key, true, ask.term, -1, 0};
 }
 
-Talk Elector::heard(Nanos now, int from, std::uint32_t birth, const Talk& talk) {
+Talk Elector::heard(Nanoseconds now, int from, std::uint32_t birth, const Talk& talk) {
     learn(now, talk.highest);
     Talk answer;
     answer.answers = talk.number;
@@ -52,14 +52,14 @@
     } else if (silent(now)) {
         answer.silent = silentUntil_ - now;
     } else {
-        const Nanos lease = std::clamp<Nanos>(talk.lease, 0, longestLease_);
+        const Nanoseconds lease = std::clamp<Nanoseconds>(talk.lease, 0, longestLease_);
         for (const Release& release : talk.releases) {
             const auto found = grants_.find(release.key);
             if (found == grants_.end() || found->second.owner != from || found->second.birth != birth ||
                 found->second.term != release.term)
                 continue;
             found->second.owner = -1;
-            found->second.until = now + std::clamp<Nanos>(release.hold, 0, longestLease_);
+            found->second.until = now + std::clamp<Nanoseconds>(release.hold, 0, longestLease_);
         }
         for (const Ask& ask : talk.asks) answer.replies.push_back(this->answer(now, from, birth, lease, ask));
         if (talk.renews) {
@@ -72,7 +72,8 @@
                 }
             answer.same = held == talk.held;
             if (answer.same)
-                for (Grant* grant : its) grant->until = std::max(grant->until, now + lease + lease / driftPart);
+                for (Grant* grant : its)
+                    grant->until = std::max(grant->until, now + lease + lease / driftPart);
         }
         forgetSome(now);
     }
@@ -80,11 +81,12 @@
     return answer;
 }
 
-void Elector::forgetSome(Nanos now) {
+void Elector::forgetSome(Nanoseconds now) {
     while (grants_.size() > mostKeys) {
         auto oldest = grants_.end();
         for (auto each = grants_.begin(); each != grants_.end(); ++each)
-            if (each->second.until <= now && (oldest == grants_.end() || each->second.until < oldest->second.until))
+            if (each->second.until <= now &&
+                (oldest == grants_.end() || each->second.until < oldest->second.until))
                 oldest = each;
         if (oldest == grants_.end()) return;
         floor_ = std::max(floor_, oldest->second.term);
--- a/src/owners/leases.cpp
+++ b/src/owners/leases.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t mostSeen = 4096;
 
 // The time until which at least a majority of these grants last; 0 where there is none.
-Nanos majorityUntil(const std::vector<int>& electors, const std::map<int, Nanos>& until) {
-    std::vector<Nanos> times;
+Nanoseconds majorityUntil(const std::vector<int>& electors, const std::map<int, Nanoseconds>& until) {
+    std::vector<Nanoseconds> times;
     for (const int elector : electors) {
         const auto found = until.find(elector);
         times.push_back(found == until.end() ? 0 : found->second);
@@ -43,8 +43,8 @@
     return electors;
 }
 
-Leases::Leases(int me, Electors electors, const Terms& terms, std::uint64_t floor, std::uint64_t seed, Nanos now,
-               Outlet& outlet)
+Leases::Leases(int me, Electors electors, const Terms& terms, std::uint64_t floor, std::uint64_t seed,
+               Nanoseconds now, Outlet& outlet)
     : out_(outlet),
       me_(me),
       electors_(std::move(electors)),
@@ -73,37 +73,37 @@
     wanted.name = name;
 }
 
-// The owner counts from the sending, and less by what clocks may drift and by the margin; electors count from the
-// arrival, and more by the drift: so they go on holding it for the owner after it has stopped.
-Nanos Leases::grantedUntil(Nanos sent) const {
+// The owner counts from the sending, and less by what clocks may drift and by the margin; electors count from
+// the arrival, and more by the drift: so they go on holding it for the owner after it has stopped.
+Nanoseconds Leases::grantedUntil(Nanoseconds sent) const {
     return sent + terms_.lease - 2 * terms_.lease / driftPart - terms_.margin;
 }
 
-Nanos Leases::endOf(const Wanted& wanted) const {
-    const Nanos now = majorityUntil(electors_.now, wanted.until);
+Nanoseconds Leases::endOf(const Wanted& wanted) const {
+    const Nanoseconds now = majorityUntil(electors_.now, wanted.until);
     return electors_.before.empty() ? now : std::min(now, majorityUntil(electors_.before, wanted.until));
 }
 
-std::optional<Hold> Leases::holds(Nanos now, Key key) const {
+std::optional<Hold> Leases::holds(Nanoseconds now, Key key) const {
     const auto found = keys_.find(key);
     if (found == keys_.end() || !found->second.held || now >= found->second.end) return {};
     return Hold{found->second.term, found->second.end};
 }
 
-std::vector<Key> Leases::held(Nanos now) const {
+std::vector<Key> Leases::held(Nanoseconds now) const {
     std::vector<Key> keys;
     for (const auto& [key, wanted] : keys_)
         if (wanted.held && now < wanted.end) keys.push_back(key);
     return keys;
 }
 
-void Leases::judge(Nanos now, Key key, Wanted& wanted, const char* why) {
+void Leases::judge(Nanoseconds now, Key key, Wanted& wanted, const char* why) {
     wanted.end = endOf(wanted);
     const bool holds = wanted.end > now;
     if (holds == wanted.held) return;
     wanted.held = holds;
-    out_.log((holds ? "owns " : "no longer owns ") + wanted.name + ", term " + std::to_string(wanted.term) + ": " +
-             why);
+    out_.log((holds ? "owns " : "no longer owns ") + wanted.name + ", term " + std::to_string(wanted.term) +
+             ": " + why);
     if (holds) {
         wanted.lost = 0;
     } else {
@@ -115,7 +115,7 @@
     out_.changed(key, holds);
 }
 
-void Leases::ask(Nanos now, int elector, std::vector<Ask> asks) {
+void Leases::ask(Nanoseconds now, int elector, std::vector<Ask> asks) {
     for (std::size_t from = 0; from < asks.size(); from += keysEach) {
         Talk talk;
         talk.number = ++lastQuestion_;
@@ -129,7 +129,7 @@
     }
 }
 
-void Leases::giveBack(Nanos now, Key key, const Wanted& wanted, Nanos hold) {
+void Leases::giveBack(Nanoseconds now, Key key, const Wanted& wanted, Nanoseconds hold) {
     now_ = now;
     everyElector([&](int elector) {
         const auto found = wanted.until.find(elector);
@@ -143,7 +143,7 @@
     });
 }
 
-void Leases::drop(Nanos now, Key key, Nanos hold) {
+void Leases::drop(Nanoseconds now, Key key, Nanoseconds hold) {
     const auto found = keys_.find(key);
     if (found == keys_.end()) return;
     Wanted wanted = std::move(found->second);
@@ -157,7 +157,7 @@
     out_.changed(key, false);
 }
 
-void Leases::heard(Nanos now, int from, const Talk& talk) {
+void Leases::heard(Nanoseconds now, int from, const Talk& talk) {
     now_ = now;
     highest_ = std::max(highest_, talk.highest);
     const auto found = questions_.find(talk.answers);
@@ -166,7 +166,8 @@
     questions_.erase(found);
     if (talk.otherList) {
         if (!std::exchange(otherListTold_, true))
-            out_.log("front " + std::to_string(from) + " goes by another list of electors, and grants nothing");
+            out_.log("front " + std::to_string(from) +
+                     " goes by another list of electors, and grants nothing");
         return;
     }
     if (talk.silent > 0) {
@@ -174,20 +175,21 @@
         for (const Ask& each : question.asks) {
             const auto at = keys_.find(each.key);
             if (at == keys_.end() || at->second.held) continue;
-            const Nanos then = now + talk.silent + static_cast<Nanos>(chance_() % 1000) * terms_.lease / 8000;
+            const Nanoseconds then =
+                now + talk.silent + static_cast<Nanoseconds>(chance_() % 1000) * terms_.lease / 8000;
             at->second.nextAsk = std::min(at->second.nextAsk, then);
         }
         return;
     }
     // An answer to what was asked before the clock stood still, or too long ago, is of no use.
-    const Nanos until = grantedUntil(question.sent);
+    const Nanoseconds until = grantedUntil(question.sent);
     if (question.renews) {
         std::vector<Ask> again;
         for (const Ask& each : question.asks) {
             const auto at = keys_.find(each.key);
             if (at == keys_.end() || at->second.term != each.term) continue;
             if (talk.same) {
-                Nanos& known = at->second.until[from];
+                Nanoseconds& known = at->second.until[from];
                 known = std::max(known, until);
                 judge(now, each.key, at->second, "renewed");
             } else {
@@ -210,8 +212,9 @@
             judge(now, reply.key, wanted, "granted by most electors");
         } else if (!wanted.held) {
             // Another holds it, or a term that was too low: again when there is a chance.
-            // Who holds it may have as little as this front, and give it back soon: a quarter of a lease at most.
-            const Nanos pause = std::clamp<Nanos>(reply.busy, 0, terms_.lease / 4);
+            // Who holds it may have as little as this front, and give it back soon: a quarter of a lease at
+            // most.
+            const Nanoseconds pause = std::clamp<Nanoseconds>(reply.busy, 0, terms_.lease / 4);
             if (pause > 0)
                 wanted.nextAsk = std::max(wanted.nextAsk, now + pause);
             else if (reply.term >= wanted.term)
@@ -220,7 +223,7 @@
     }
 }
 
-void Leases::tick(Nanos now) {
+void Leases::tick(Nanoseconds now) {
     now_ = now;
     std::erase_if(questions_, [&](const auto& each) { return now - each.second.sent > terms_.lease; });
     for (auto& [key, wanted] : keys_)
@@ -228,7 +231,8 @@
     std::vector<Ask> asks;
     for (auto& [key, wanted] : keys_) {
         if (wanted.held) continue;
-        // Grants that came to less than a majority are given back, so that two who race don't block each other.
+        // Grants that came to less than a majority are given back, so that two who race don't block each
+        // other.
         if (!wanted.until.empty() && (now >= wanted.giveUpAt || now >= wanted.nextAsk)) {
             giveBack(now, key, wanted, 0);
             wanted.until.clear();
@@ -238,8 +242,8 @@
         wanted.giveUpAt = now + terms_.lease / 8;
         wanted.term = highest_ + 1;
         // After each try that came to nothing a longer pause by chance, a lease at most.
-        const Nanos most = std::min(terms_.lease, (terms_.lease / 8) << std::min(wanted.lost, 3));
-        wanted.nextAsk = now + terms_.lease / 8 + static_cast<Nanos>(chance_() % 1000) * most / 1000;
+        const Nanoseconds most = std::min(terms_.lease, (terms_.lease / 8) << std::min(wanted.lost, 3));
+        wanted.nextAsk = now + terms_.lease / 8 + static_cast<Nanoseconds>(chance_() % 1000) * most / 1000;
         ++wanted.lost;
         asks.push_back({key, wanted.term});
     }
@@ -277,19 +281,20 @@
     });
 }
 
-Nanos Leases::next() const {
+Nanoseconds Leases::next() const {
     bool any = false;
-    Nanos when = now_ + terms_.lease;
+    Nanoseconds when = now_ + terms_.lease;
     for (const auto& [key, wanted] : keys_) {
         any |= wanted.held;
         when = std::min(when, wanted.held ? wanted.end : wanted.nextAsk);
         if (!wanted.held && !wanted.until.empty()) when = std::min(when, wanted.giveUpAt);
     }
     if (any) when = std::min(when, nextRenewal_);
-    return std::max(when, now_ + millis(1));
+    return std::max(when, now_ + milliseconds(1));
 }
 
-void Leases::leave(Nanos now, const std::function<int(Key)>& heir, const std::function<Nanos(Key)>& hold) {
+void Leases::leave(Nanoseconds now, const std::function<int(Key)>& heir,
+                   const std::function<Nanoseconds(Key)>& hold) {
     std::map<int, std::vector<Key>> heirs;
     for (const Key key : held(now)) {
         const int next = heir(key);
@@ -302,13 +307,15 @@
             Talk talk;
             talk.electors = electors_.digest();
             talk.highest = highest_;
-            talk.handed.assign(keys.begin() + static_cast<std::ptrdiff_t>(from),
-                               keys.begin() + static_cast<std::ptrdiff_t>(std::min(keys.size(), from + 2 * keysEach)));
+            talk.handed.assign(
+                keys.begin() + static_cast<std::ptrdiff_t>(from),
+                keys.begin() + static_cast<std::ptrdiff_t>(std::min(keys.size(), from + 2 * keysEach)));
             out_.send(next, talk);
         }
 }
 
-void Leases::spread(Nanos now, const std::function<int(Key)>& duty, const std::function<Nanos(Key)>& hold) {
+void Leases::spread(Nanoseconds now, const std::function<int(Key)>& duty,
+                    const std::function<Nanoseconds(Key)>& hold) {
     if (now < nextSpread_) return;
     nextSpread_ = now + terms_.lease / 3;
     for (auto& [key, wanted] : keys_) {
@@ -331,7 +338,7 @@
     }
 }
 
-void Leases::slept(Nanos now) {
+void Leases::slept(Nanoseconds now) {
     questions_.clear();
     for (auto& [key, wanted] : keys_) {
         wanted.until.clear();
@@ -339,7 +346,7 @@
     }
 }
 
-bool Fence::admits(Nanos now, Key key, std::uint64_t term, Nanos end) {
+bool Fence::admits(Nanoseconds now, Key key, std::uint64_t term, Nanoseconds end) {
     return now < end && term >= seen(key);
 }
 
@@ -348,7 +355,7 @@
     return found == seen_.end() ? floor_ : found->second.term;
 }
 
-void Fence::note(Key key, std::uint64_t term, int owner, Nanos end) {
+void Fence::note(Key key, std::uint64_t term, int owner, Nanoseconds end) {
     if (term < seen(key)) return;
     seen_[key] = {term, owner, end};
     while (seen_.size() > mostSeen) {
