--- a/src/owners/letter.cpp
+++ b/src/owners/letter.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-std::uint32_t wireTime(Nanos time) {
-    return static_cast<std::uint32_t>(time <= 0 ? 0 : (time + millis(1) - 1) / millis(1));
+std::uint32_t wireTime(Nanoseconds time) {
+    return static_cast<std::uint32_t>(time <= 0 ? 0 : (time + milliseconds(1) - 1) / milliseconds(1));
 }
 // No lease, silence or hold is longer than an hour.
 constexpr std::uint32_t longest = 3'600'000;
@@ -89,22 +89,22 @@
     talk.electors = from.electors();
     talk.highest = from.highest();
     talk.number = from.number();
-    talk.lease = millis(from.lease_ms());
+    talk.lease = milliseconds(from.lease_ms());
     for (const wire::Ask& each : from.asks()) talk.asks.push_back({each.key(), each.term()});
     talk.renews = from.renews();
     talk.held = from.held();
     for (const wire::Release& each : from.releases()) {
         if (each.hold_ms() > longest) return {};
-        talk.releases.push_back({each.key(), each.term(), millis(each.hold_ms())});
+        talk.releases.push_back({each.key(), each.term(), milliseconds(each.hold_ms())});
     }
     talk.answers = from.answers();
     for (const wire::Reply& each : from.replies()) {
         if (each.busy_ms() > longest || each.owner() > 1 << 16) return {};
         talk.replies.push_back({each.key(), each.granted(), each.term(), static_cast<int>(each.owner()) - 1,
-                                millis(each.busy_ms())});
+                                milliseconds(each.busy_ms())});
     }
     talk.same = from.same();
-    talk.silent = millis(from.silent_ms());
+    talk.silent = milliseconds(from.silent_ms());
     talk.otherList = from.other_list();
     talk.handed.assign(from.handed().begin(), from.handed().end());
     return talk;
@@ -112,8 +112,8 @@
 
 namespace {
 // Work as it travels: whole microseconds, rounded up.
-std::uint32_t wireWork(Nanos work) {
-    return static_cast<std::uint32_t>(work <= 0 ? 0 : std::min<Nanos>((work + 999) / 1000, UINT32_MAX));
+std::uint32_t wireWork(Nanoseconds work) {
+    return static_cast<std::uint32_t>(work <= 0 ? 0 : std::min<Nanoseconds>((work + 999) / 1000, UINT32_MAX));
 }
 // No transaction works for longer than this.
 constexpr std::uint32_t mostWork = 600'000'000;
@@ -133,7 +133,7 @@
         wire::Cession* cession = to.add_cessions();
         cession->set_key(each.key);
         cession->set_number(each.number);
-        cession->set_start_ms(static_cast<std::uint64_t>(each.start / millis(1)));
+        cession->set_start_ms(static_cast<std::uint64_t>(each.start / milliseconds(1)));
         cession->set_part(each.part);
         cession->set_time_ms(wireTime(each.time));
     }
@@ -143,13 +143,13 @@
         want->set_term(each.term);
         want->set_work_us(wireWork(each.work));
         want->set_gain(each.gain);
-        want->set_wait_ms(wireTime(std::min(each.wait, millis(longest))));
+        want->set_wait_ms(wireTime(std::min(each.wait, milliseconds(longest))));
     }
     for (const Warm::Slice& each : warm.slices) {
         wire::Slice* slice = to.add_slices();
         slice->set_key(each.key);
         slice->set_term(each.term);
-        slice->set_start_ms(static_cast<std::uint64_t>(each.start / millis(1)));
+        slice->set_start_ms(static_cast<std::uint64_t>(each.start / milliseconds(1)));
         slice->set_work_us(wireWork(each.work));
         slice->set_left_ms(wireTime(each.left));
     }
@@ -172,23 +172,26 @@
     Warm warm;
     for (const wire::Open& each : from.opens()) {
         if (each.left_ms() > longest) return {};
-        warm.opens.push_back({each.key(), each.term(), millis(each.left_ms()), each.call()});
+        warm.opens.push_back({each.key(), each.term(), milliseconds(each.left_ms()), each.call()});
     }
     for (const wire::Cession& each : from.cessions()) {
         // A part of more than a thousand cores is nobody's.
-        if (each.start_ms() > latestStart || each.time_ms() > longest || each.part() > 1'000'000'000) return {};
-        warm.cessions.push_back({each.key(), each.number(), millis(static_cast<std::int64_t>(each.start_ms())),
-                                 each.part(), millis(each.time_ms())});
+        if (each.start_ms() > latestStart || each.time_ms() > longest || each.part() > 1'000'000'000)
+            return {};
+        warm.cessions.push_back({each.key(), each.number(),
+                                 milliseconds(static_cast<std::int64_t>(each.start_ms())), each.part(),
+                                 milliseconds(each.time_ms())});
     }
     for (const wire::Want& each : from.wants()) {
         if (each.work_us() > mostWork || each.wait_ms() > longest || !(each.gain() >= 0)) return {};
-        warm.wants.push_back(
-            {each.key(), each.term(), Nanos(each.work_us()) * 1000, each.gain(), millis(each.wait_ms())});
+        warm.wants.push_back({each.key(), each.term(), Nanoseconds(each.work_us()) * 1000, each.gain(),
+                              milliseconds(each.wait_ms())});
     }
     for (const wire::Slice& each : from.slices()) {
         if (each.start_ms() > latestStart || each.work_us() > mostWork || each.left_ms() > longest) return {};
-        warm.slices.push_back({each.key(), each.term(), millis(static_cast<std::int64_t>(each.start_ms())),
-                               Nanos(each.work_us()) * 1000, millis(each.left_ms())});
+        warm.slices.push_back({each.key(), each.term(),
+                               milliseconds(static_cast<std::int64_t>(each.start_ms())),
+                               Nanoseconds(each.work_us()) * 1000, milliseconds(each.left_ms())});
     }
     for (const wire::Other& each : from.others()) {
         if (each.owner() > 1 << 16) return {};
--- a/src/owners/owners.cpp
+++ b/src/owners/owners.cpp
@@ -6,7 +6,7 @@
 namespace granitereel::owners {
 
 Owners::Owners(int me, std::uint32_t birth, const Electors& electors, const Terms& terms, std::uint64_t floor,
-               std::uint64_t seed, Nanos now, View view, Outlet& outlet)
+               std::uint64_t seed, Nanoseconds now, View view, Outlet& outlet)
     : out_(outlet),
       me_(me),
       birth_(birth),
@@ -28,7 +28,7 @@
     nextLook_ = 0;
 }
 
-void Owners::needless(Nanos now, Key key) {
+void Owners::needless(Nanoseconds now, Key key) {
     now_ = now;
     needed_.erase(key);
     restsUntil_.erase(key);
@@ -36,7 +36,7 @@
     settleOwn();
 }
 
-void Owners::yieldKey(Nanos now, Key key, Nanos restFor) {
+void Owners::yieldKey(Nanoseconds now, Key key, Nanoseconds restFor) {
     now_ = now;
     restsUntil_[key] = now + restFor;
     leases_.drop(now, key, givenOutFor(key));
@@ -64,7 +64,7 @@
     }
 }
 
-void Owners::heard(Nanos now, int from, std::uint32_t birth, const Talk& talk) {
+void Owners::heard(Nanoseconds now, int from, std::uint32_t birth, const Talk& talk) {
     now_ = now;
     leases_.learnTerm(talk.highest);
     if (talk.number && elector_) {
@@ -86,12 +86,12 @@
     settleOwn();
 }
 
-void Owners::tick(Nanos now) {
+void Owners::tick(Nanoseconds now) {
     now_ = now;
     std::erase_if(restsUntil_, [now](const auto& each) { return each.second <= now; });
     if (now >= nextLook_ && !leaving_) {
         // The view changes now and then: ten looks a second find that soon enough.
-        nextLook_ = now + millis(100);
+        nextLook_ = now + milliseconds(100);
         const bool most = view_.most();
         const std::vector<int> here = view_.here();
         for (const auto& [key, name] : needed_) {
@@ -106,14 +106,15 @@
     if (now < termsUntil_ && now >= nextTerms_ && (elector_ || !needed_.empty())) askForTerms();
     leases_.tick(now);
     if (!leaving_)
-        leases_.spread(now, [this](Key key) { return view_.most() ? duty(key) : me_; }, givenOutFor);
+        leases_.spread(
+            now, [this](Key key) { return view_.most() ? duty(key) : me_; }, givenOutFor);
     settleOwn();
 }
 
 // A front that starts knows of no term: it asks the electors and some others while it could not grant or hold
 // anything yet. What nobody of these knows any more is guarded by the floor alone.
 void Owners::askForTerms() {
-    nextTerms_ = now_ + (termsUntil_ - now_) / 3 + millis(1);
+    nextTerms_ = now_ + (termsUntil_ - now_) / 3 + milliseconds(1);
     std::vector<int> asked = electors_.now, others = view_.here();
     asked.insert(asked.end(), electors_.before.begin(), electors_.before.end());
     std::shuffle(others.begin(), others.end(), chance_);
@@ -129,18 +130,21 @@
         if (each != me_) out_.send(each, talk);
 }
 
-Nanos Owners::next() const {
-    if (leaving_) return now_ + millis(1000);
-    if (now_ < termsUntil_ && elector_ && needed_.empty()) return std::max(nextTerms_, now_ + millis(1));
-    return needed_.empty() ? now_ + millis(1000) : std::min(leases_.next(), std::max(nextLook_, now_ + millis(1)));
+Nanoseconds Owners::next() const {
+    if (leaving_) return now_ + milliseconds(1000);
+    if (now_ < termsUntil_ && elector_ && needed_.empty())
+        return std::max(nextTerms_, now_ + milliseconds(1));
+    return needed_.empty() ? now_ + milliseconds(1000)
+                           : std::min(leases_.next(), std::max(nextLook_, now_ + milliseconds(1)));
 }
 
-void Owners::leave(Nanos now) {
+void Owners::leave(Nanoseconds now) {
     now_ = now;
     if (std::exchange(leaving_, true)) return;
     std::vector<int> others = view_.here();
     std::erase(others, me_);
-    leases_.leave(now, [&](Key key) { return dutyOf(key, others); }, givenOutFor);
+    leases_.leave(
+        now, [&](Key key) { return dutyOf(key, others); }, givenOutFor);
     settleOwn();
 }
 
--- a/src/owners/owners.hpp
+++ b/src/owners/owners.hpp
@@ -1,5 +1,5 @@
-// Work for the fleet and who owns it: a duty that every front can name from its view, and for kinds that are harmful
-// twice a lease. Free of I/O and clocks. docs/owners-design.md names the ways weighed.
+// Work for the fleet and who owns it: a duty that every front can name from its view, and for kinds that are
+// harmful twice a lease. Free of I/O and clocks. docs/owners-design.md names the ways weighed.
 #pragma once
 
 #include <deque>
@@ -27,30 +27,31 @@
     };
 
     Owners(int me, std::uint32_t birth, const Electors& electors, const Terms& terms, std::uint64_t floor,
-           std::uint64_t seed, Nanos now, View view, Outlet& outlet);
+           std::uint64_t seed, Nanoseconds now, View view, Outlet& outlet);
 
-    // Work that needs one owner, from now on: while the duty for it is this front's, it tries to hold the lease.
+    // Work that needs one owner, from now on: while the duty for it is this front's, it tries to hold the
+    // lease.
     void need(Key key, const std::string& name);
-    void needless(Nanos now, Key key);
+    void needless(Nanoseconds now, Key key);
     // How long what was given out under a key may still be used; asked when the key is given back.
-    std::function<Nanos(Key)> givenOutFor = [](Key) { return Nanos(0); };
+    std::function<Nanoseconds(Key)> givenOutFor = [](Key) { return Nanoseconds(0); };
 
     // Who would do it, by this front's view; -1: nobody is seen.
     int duty(Key key) const;
-    std::optional<Hold> holds(Nanos now, Key key) const { return leases_.holds(now, key); }
+    std::optional<Hold> holds(Nanoseconds now, Key key) const { return leases_.holds(now, key); }
     Fence& fence() { return fence_; }
     // What was seen of owners' acts, by key.
     const std::map<Key, Fence::Seen>& seen() const { return fence_.all(); }
     const Leases& leases() const { return leases_; }
     const Elector* elector() const { return elector_.get(); }
 
-    void heard(Nanos now, int from, std::uint32_t birth, const Talk& talk);
-    void tick(Nanos now);
-    Nanos next() const;
-    void leave(Nanos now);
-    void slept(Nanos now) { leases_.slept(now); }
+    void heard(Nanoseconds now, int from, std::uint32_t birth, const Talk& talk);
+    void tick(Nanoseconds now);
+    Nanoseconds next() const;
+    void leave(Nanoseconds now);
+    void slept(Nanoseconds now) { leases_.slept(now); }
     // Gives back a key by hand, and does not ask for it again within that time.
-    void yieldKey(Nanos now, Key key, Nanos restFor);
+    void yieldKey(Nanoseconds now, Key key, Nanoseconds restFor);
 
 private:
     void send(int member, const Talk& talk) override;
@@ -67,10 +68,10 @@
     Leases leases_;
     Fence fence_;
     std::map<Key, std::string> needed_;
-    std::map<Key, Nanos> restsUntil_;
+    std::map<Key, Nanoseconds> restsUntil_;
     std::deque<Talk> own_;  // to this front itself
-    Nanos now_ = 0, nextLook_ = 0, nextTerms_ = 0;
-    const Nanos termsUntil_;  // it asks others for the highest term that they know, until then
+    Nanoseconds now_ = 0, nextLook_ = 0, nextTerms_ = 0;
+    const Nanoseconds termsUntil_;  // it asks others for the highest term that they know, until then
     const Electors electors_;
     std::minstd_rand chance_;
     bool leaving_ = false;
--- a/src/owners/seeker.cpp
+++ b/src/owners/seeker.cpp
@@ -4,20 +4,21 @@
 
 namespace {
 // An owner answers at once, within two ways of the network: a quarter of a second is several times that.
-constexpr Nanos answerWithin = millis(250);
+constexpr Nanoseconds answerWithin = milliseconds(250);
 // Who asked is told of what is found within this time; who still misses it asks again.
-constexpr Nanos toldWithin = millis(5'000);
+constexpr Nanoseconds toldWithin = milliseconds(5'000);
 // While somebody waits, the owner looks at what it knows so often.
-constexpr Nanos between = millis(20);
-// Who was told that the owner looks will be told what it finds; who was told where it is may find it moved again.
-constexpr Nanos restsWhileLooked = millis(1'000), restsWhenFound = millis(400);
+constexpr Nanoseconds between = milliseconds(20);
+// Who was told that the owner looks will be told what it finds; who was told where it is may find it moved
+// again.
+constexpr Nanoseconds restsWhileLooked = milliseconds(1'000), restsWhenFound = milliseconds(400);
 }  // namespace
 
 int Seeker::duty(int group) const {
     return dutyOf(keyOf("seek/" + std::to_string(group)), view_.here());
 }
 
-std::optional<int> Seeker::seekers(Nanos now, int group) {
+std::optional<int> Seeker::seekers(Nanoseconds now, int group) {
     now_ = now;
     if (!view_.most()) return {};
     const int owner = duty(group);
@@ -25,7 +26,8 @@
     Missed& missed = missed_[group];
     if (missed.owner != owner) missed = {owner, 0, 0, 0};
     // Asked in vain: the owner is gone, cut off or of a version that knows nothing of this.
-    const bool vain = missed.asked > 0 && missed.answered < missed.asked && now - missed.asked >= answerWithin;
+    const bool vain =
+        missed.asked > 0 && missed.answered < missed.asked && now - missed.asked >= answerWithin;
     const bool due = missed.asked == 0 || (missed.answered >= missed.asked && now >= missed.restsUntil);
     if (due || vain) {
         missed.asked = now;
@@ -37,7 +39,7 @@
     return vain ? std::optional<int>() : 0;
 }
 
-bool Seeker::tell(Nanos now, int group) {
+bool Seeker::tell(Nanoseconds now, int group) {
     const auto found = sought_.find(group);
     if (found == sought_.end()) return true;
     const std::optional<std::string> primary = finder_.primary(group);
@@ -53,7 +55,7 @@
     return true;
 }
 
-void Seeker::heard(Nanos now, int from, const Seek& seek) {
+void Seeker::heard(Nanoseconds now, int from, const Seek& seek) {
     now_ = now;
     for (const int group : seek.wants) {
         sought_[group].askers[from] = now + toldWithin;
@@ -63,7 +65,7 @@
         looking.looking = {group};
         send_(from, looking);
     }
-    const auto answered = [&](int group, Nanos rest) {
+    const auto answered = [&](int group, Nanoseconds rest) {
         const auto found = missed_.find(group);
         if (found == missed_.end() || found->second.owner != from) return;
         found->second.answered = now;
@@ -76,7 +78,7 @@
     }
 }
 
-void Seeker::tick(Nanos now) {
+void Seeker::tick(Nanoseconds now) {
     now_ = now;
     std::vector<int> groups;
     for (const auto& [group, sought] : sought_) groups.push_back(group);
@@ -89,8 +91,8 @@
     }
 }
 
-Nanos Seeker::next() const {
-    return now_ + (sought_.empty() ? millis(3'600'000) : between);
+Nanoseconds Seeker::next() const {
+    return now_ + (sought_.empty() ? milliseconds(3'600'000) : between);
 }
 
 }  // namespace granitereel::owners
--- a/src/owners/seeker.hpp
+++ b/src/owners/seeker.hpp
@@ -1,6 +1,6 @@
-// Who looks for a primary that was lost: by duty one front of the tier looks at full pace, and tells the others that
-// miss it where it is. What it tells is a hint where to look, never leave to write. Harmless if two do it; so a
-// front that gets no answer looks for itself, as one without a tier. Free of I/O and clocks.
+// Who looks for a primary that was lost: by duty one front of the tier looks at full pace, and tells the
+// others that miss it where it is. What it tells is a hint where to look, never leave to write. Harmless if
+// two do it; so a front that gets no answer looks for itself, as one without a tier. Free of I/O and clocks.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "duties.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::owners {
 
@@ -48,12 +48,12 @@
     Seeker(int me, View view, std::function<void(int member, const Seek&)> send, Finder& finder)
         : me_(me), view_(std::move(view)), send_(std::move(send)), finder_(finder) {}
 
-    // The front misses a group's primary. 1: it looks for all; 0: another does, and is asked; none: it looks as one
-    // without a tier, since it sees too little of its own or the other does not answer.
-    std::optional<int> seekers(Nanos now, int group);
-    void heard(Nanos now, int from, const Seek& seek);
-    void tick(Nanos now);
-    Nanos next() const;
+    // The front misses a group's primary. 1: it looks for all; 0: another does, and is asked; none: it looks
+    // as one without a tier, since it sees too little of its own or the other does not answer.
+    std::optional<int> seekers(Nanoseconds now, int group);
+    void heard(Nanoseconds now, int from, const Seek& seek);
+    void tick(Nanoseconds now);
+    Nanoseconds next() const;
     int duty(int group) const;
     // Those asked for since the start, and those found for others.
     std::uint64_t asked() const { return asked_; }
@@ -62,13 +62,13 @@
 private:
     struct Missed {
         int owner = -1;
-        Nanos asked = 0, answered = 0;
-        Nanos restsUntil = 0;  // not asked again before, as it has answered
+        Nanoseconds asked = 0, answered = 0;
+        Nanoseconds restsUntil = 0;  // not asked again before, as it has answered
     };
     struct Sought {
-        std::map<int, Nanos> askers;  // until when each is told
+        std::map<int, Nanoseconds> askers;  // until when each is told
     };
-    bool tell(Nanos now, int group);
+    bool tell(Nanoseconds now, int group);
 
     const int me_;
     const View view_;
@@ -76,7 +76,7 @@
     Finder& finder_;
     std::map<int, Missed> missed_;  // by group
     std::map<int, Sought> sought_;
-    Nanos now_ = 0;
+    Nanoseconds now_ = 0;
     std::uint64_t asked_ = 0, told_ = 0;
 };
 
--- a/src/owners/talk.hpp
+++ b/src/owners/talk.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "duties.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::owners {
 
@@ -18,9 +18,10 @@
 struct Reply {
     Key key = 0;
     bool granted = false;
-    std::uint64_t term = 0;  // granted: that term; refused: the highest that the elector knows of for this key
-    int owner = -1;          // refused, as another holds it: who
-    Nanos busy = 0;          // for how long still
+    std::uint64_t term =
+        0;                 // granted: that term; refused: the highest that the elector knows of for this key
+    int owner = -1;        // refused, as another holds it: who
+    Nanoseconds busy = 0;  // for how long still
     bool operator==(const Reply&) const = default;
 };
 
@@ -28,7 +29,7 @@
 struct Release {
     Key key = 0;
     std::uint64_t term = 0;
-    Nanos hold = 0;  // nobody may have it before: what was given out under it may still be used
+    Nanoseconds hold = 0;  // nobody may have it before: what was given out under it may still be used
     bool operator==(const Release&) const = default;
 };
 
@@ -37,7 +38,7 @@
     std::uint64_t highest = 0;   // the highest term that the sender knows of, for any key
     // To an elector: a question by its number.
     std::uint32_t number = 0;
-    Nanos lease = 0;
+    Nanoseconds lease = 0;
     std::vector<Ask> asks;
     bool renews = false;
     std::uint32_t held = 0;  // with renews: digest of the keys and terms that the elector should hold for me
@@ -45,8 +46,8 @@
     // From an elector: the number answered.
     std::uint32_t answers = 0;
     std::vector<Reply> replies;
-    bool same = false;      // it holds just these
-    Nanos silent = 0;       // it has started lately and grants nothing for so long
+    bool same = false;       // it holds just these
+    Nanoseconds silent = 0;  // it has started lately and grants nothing for so long
     bool otherList = false;  // it goes by other electors, and grants nothing
     // To the next owner: these are free.
     std::vector<Key> handed;
--- a/src/owners/warmer.cpp
+++ b/src/owners/warmer.cpp
@@ -8,39 +8,39 @@
 namespace {
 
 // Cold stores are looked at so often: one is cold for many seconds.
-constexpr Nanos between = millis(200);
-// What was lent is used by the work that it was asked for, or by the next that comes within this time: with what the
-// owner saves, what can come at once stays below what a fall is reckoned over.
-constexpr Nanos lentFor = millis(1000);
+constexpr Nanoseconds between = milliseconds(200);
+// What was lent is used by the work that it was asked for, or by the next that comes within this time: with
+// what the owner saves, what can come at once stays below what a fall is reckoned over.
+constexpr Nanoseconds lentFor = milliseconds(1000);
 // A slice that would end sooner is not worth sending.
-constexpr Nanos leastLent = millis(50);
+constexpr Nanoseconds leastLent = milliseconds(50);
 // The owner saves up no more than this time's worth: a fall is reckoned over about three times as long.
-constexpr Nanos saved = millis(500);
-// Asked again after so long without an answer, and after three in vain for another owner. What is not asked for again
-// by then has been sent elsewhere, or been refused.
-constexpr Nanos askAgain = millis(250), waitsFor = millis(300);
+constexpr Nanoseconds saved = milliseconds(500);
+// Asked again after so long without an answer, and after three in vain for another owner. What is not asked
+// for again by then has been sent elsewhere, or been refused.
+constexpr Nanoseconds askAgain = milliseconds(250), waitsFor = milliseconds(300);
 constexpr int mostVain = 3;
 // A front where work waited within this time needs its part itself.
-constexpr Nanos needsItself = millis(1000);
-// The owner calls on so many fronts first, then on twice as many each time that work still waits after this: an
-// answer takes two ways of the network.
+constexpr Nanoseconds needsItself = milliseconds(1000);
+// The owner calls on so many fronts first, then on twice as many each time that work still waits after this:
+// an answer takes two ways of the network.
 constexpr int firstCalls = 8;
-constexpr Nanos betweenCalls = millis(60);
-// The time of sending of what was heard is known but for the shortest delay on its way: less than this between
-// fronts of a tier.
-constexpr Nanos shortestDelay = millis(100);
+constexpr Nanoseconds betweenCalls = milliseconds(60);
+// The time of sending of what was heard is known but for the shortest delay on its way: less than this
+// between fronts of a tier.
+constexpr Nanoseconds shortestDelay = milliseconds(100);
 // Called at once: so many datagrams fill no buffer.
 constexpr int mostCalls = 64;
 constexpr double millionth = 1e-6;
 
 // Lists tell a store's start in milliseconds, perhaps with parts of them; whole ones travel.
-bool sameStart(Nanos a, Nanos b) {
-    return a / millis(1) == b / millis(1);
+bool sameStart(Nanoseconds a, Nanoseconds b) {
+    return a / milliseconds(1) == b / milliseconds(1);
 }
 
 }  // namespace
 
-Warmer::Warmer(int me, Nanos now, Owners& owners, View view, const Pace& pace, Till& till,
+Warmer::Warmer(int me, Nanoseconds now, Owners& owners, View view, const Pace& pace, Till& till,
                std::function<void(int, const Warm&)> send, std::function<void(const std::string&)> log)
     : me_(me),
       owners_(owners),
@@ -107,7 +107,8 @@
     for (auto& [key, mine] : mine_) settle(key, mine);
 }
 
-// Sees to one store: whether this front owns it, for how long it has ceded its part, and what was ceded to it.
+// Sees to one store: whether this front owns it, for how long it has ceded its part, and what was ceded to
+// it.
 void Warmer::settle(Key key, Mine& mine) {
     if (mine.cededTo >= 0 && now_ >= mine.cededUntil) takeBack(mine);
     const auto hold = leaving_ ? std::optional<Hold>() : owners_.holds(now_, key);
@@ -136,7 +137,8 @@
     giveBack(key, pot);
 }
 
-// Who ceded to this front may have it back: none of it is lent from now on. A store that is warm needs no credit.
+// Who ceded to this front may have it back: none of it is lent from now on. A store that is warm needs no
+// credit.
 void Warmer::giveBack(Key key, Pot& pot) {
     const auto mine = mine_.find(key);
     for (auto& [front, lender] : pot.lenders) {
@@ -151,8 +153,8 @@
     }
 }
 
-// While work waits for more than is at hand: calls on fronts that were not called lately, from a place in their row
-// that differs from store to store, itself among them.
+// While work waits for more than is at hand: calls on fronts that were not called lately, from a place in
+// their row that differs from store to store, itself among them.
 void Warmer::call(Key key, Pot& pot) {
     if (pot.queue.empty() || now_ < pot.nextCall) return;
     const auto hold = owners_.holds(now_, key);
@@ -180,7 +182,9 @@
 
 void Warmer::cede(Key key, Mine& mine, int to) {
     const auto part = static_cast<std::uint32_t>(mine.part * pace_.share / millionth);
-    if (part == 0 || to < 0 || mine.cededTo >= 0 || leaving_ || !view_.most() || now_ - mine.lacked < needsItself) return;
+    if (part == 0 || to < 0 || mine.cededTo >= 0 || leaving_ || !view_.most() ||
+        now_ - mine.lacked < needsItself)
+        return;
     // First it earns less here, then the other may lend it.
     till_.cede(mine.store, part * millionth);
     mine.cededTo = to;
@@ -208,7 +212,7 @@
     for (const auto& [front, lender] : pot.lenders) {
         if (pot.term == 0 || lender.until <= pot.at) continue;
         rate += lender.part;
-        pot.amount += lender.part * double(std::max<Nanos>(0, std::min(now_, lender.until) - pot.at));
+        pot.amount += lender.part * double(std::max<Nanoseconds>(0, std::min(now_, lender.until) - pot.at));
     }
     const double wanted = pot.queue.empty() ? 0 : double(pot.queue.front().work);
     pot.amount = std::min(pot.amount, std::max(rate * double(saved), wanted));
@@ -232,7 +236,7 @@
         // The lease is looked at before each slice; a slice never outlasts it.
         const auto hold = owners_.holds(now_, key);
         if (!hold || hold->term != pot.term || double(first.work) > pot.amount) return;
-        const Nanos left = std::min(lentFor, hold->end - now_);
+        const Nanoseconds left = std::min(lentFor, hold->end - now_);
         if (left < leastLent) return;
         pot.queue.erase(pot.queue.begin());
         pot.amount -= double(first.work);
@@ -252,7 +256,7 @@
     }
 }
 
-void Warmer::scarce(Nanos now, const std::string& store, const Wish& wish) {
+void Warmer::scarce(Nanoseconds now, const std::string& store, const Wish& wish) {
     now_ = now;
     if (leaving_ || !view_.most()) return;
     const Key key = keyOf("warm/" + store);
@@ -263,7 +267,8 @@
     if (now_ < mine.askAt) return;
     mine.askAt = now_ + askAgain;
     // To itself it lends with the next tick, not while the decisions are at work.
-    if (Pot* own = owned(key)) return queue(*own, {me_, wish.work, wish.gain, std::min(wish.until, now_ + waitsFor)});
+    if (Pot* own = owned(key))
+        return queue(*own, {me_, wish.work, wish.gain, std::min(wish.until, now_ + waitsFor)});
     if (++mine.vain > mostVain) {  // its owner is gone, cut off or of a version that knows nothing of this
         mine.vain = 0;
         mine.term = 0;
@@ -274,20 +279,22 @@
     if (target < 0 || target == me_) return;
     ++told_.wants;
     Warm warm;
-    warm.wants = {{key, mine.term, wish.work, static_cast<float>(wish.gain), std::max<Nanos>(0, wish.until - now_)}};
+    warm.wants = {{key, mine.term, wish.work, static_cast<float>(wish.gain),
+                   std::max<Nanoseconds>(0, wish.until - now_)}};
     send_(target, warm);
 }
 
-void Warmer::opened(int from, Nanos sent, const Warm::Open& open) {
+void Warmer::opened(int from, Nanoseconds sent, const Warm::Open& open) {
     const auto found = mine_.find(open.key);
     if (found == mine_.end()) return;
     Mine& mine = found->second;
-    const Nanos end = sent + open.left;
+    const Nanoseconds end = sent + open.left;
     if (!owners_.fence().admits(now_, open.key, open.term, end)) {
         ++told_.refused;
         log_("refuses front " + std::to_string(from) + " as owner of warm/" + mine.store + ", term " +
              std::to_string(open.term) + ": " +
-             (now_ >= end ? "its time is over" : "term " + std::to_string(owners_.fence().seen(open.key)) + " was seen"));
+             (now_ >= end ? "its time is over"
+                          : "term " + std::to_string(owners_.fence().seen(open.key)) + " was seen"));
         return;
     }
     owners_.fence().note(open.key, open.term, from, end);
@@ -297,16 +304,17 @@
     if (open.call) cede(open.key, mine, from);
 }
 
-void Warmer::ceded(int from, std::uint32_t birth, Nanos sent, const Warm::Cession& cession) {
+void Warmer::ceded(int from, std::uint32_t birth, Nanoseconds sent, const Warm::Cession& cession) {
     const auto found = mine_.find(cession.key);
-    // Of a store that is not cold here, or of another life of it: it is not lent, and its front takes it back in time.
+    // Of a store that is not cold here, or of another life of it: it is not lent, and its front takes it back
+    // in time.
     if (found == mine_.end() || !sameStart(found->second.started, cession.start)) return;
     Pot& pot = pots_[cession.key];
     gather(pot);
     Lender& lender = pot.lenders[from];
     // Once more, or an older one, or one that was given back.
     if (lender.birth == birth && cession.number <= lender.number) return;
-    const Nanos until = sent + cession.time - 2 * cession.time / driftPart - shortestDelay;
+    const Nanoseconds until = sent + cession.time - 2 * cession.time / driftPart - shortestDelay;
     lender = {cession.part * millionth, until, birth, cession.number};
     if (owned(cession.key)) return lend(cession.key, pot);
     // It is kept for when this front owns the key, if that is to be expected.
@@ -314,7 +322,8 @@
     lender.until = now_;
     Warm answer;
     answer.returns = {{cession.key, cession.number}};
-    if (found->second.owner >= 0 && found->second.owner != me_) answer.others = {{cession.key, found->second.owner}};
+    if (found->second.owner >= 0 && found->second.owner != me_)
+        answer.others = {{cession.key, found->second.owner}};
     send_(from, answer);
 }
 
@@ -343,16 +352,18 @@
     send_(from, answer);
 }
 
-void Warmer::use(int from, Nanos sent, const Warm::Slice& slice) {
+void Warmer::use(int from, Nanoseconds sent, const Warm::Slice& slice) {
     const auto found = mine_.find(slice.key);
     if (found == mine_.end()) return;
     Mine& mine = found->second;
-    const Nanos until = sent + slice.left - 2 * slice.left / driftPart;
-    // The place of the effect: what comes under an old term, past its end, or for another life of the store, has none.
-    const char* const why = !sameStart(slice.start, mine.started)                          ? "the store has started again"
-                            : now_ >= until                                                      ? "its time is over"
-                            : !owners_.fence().admits(now_, slice.key, slice.term, until) ? "a later term was seen"
-                                                                                                 : nullptr;
+    const Nanoseconds until = sent + slice.left - 2 * slice.left / driftPart;
+    // The place of the effect: what comes under an old term, past its end, or for another life of the store,
+    // has none.
+    const char* const why = !sameStart(slice.start, mine.started) ? "the store has started again"
+                            : now_ >= until                       ? "its time is over"
+                            : !owners_.fence().admits(now_, slice.key, slice.term, until)
+                                ? "a later term was seen"
+                                : nullptr;
     if (why) {
         ++told_.refused;
         log_("refuses a slice of warm/" + mine.store + " from front " + std::to_string(from) + ", term " +
@@ -366,7 +377,7 @@
     till_.lend(mine.store, slice.work, until);
 }
 
-void Warmer::heard(Nanos now, int from, std::uint32_t birth, Nanos sent, const Warm& warm) {
+void Warmer::heard(Nanoseconds now, int from, std::uint32_t birth, Nanoseconds sent, const Warm& warm) {
     now_ = now;
     for (const Warm::Open& each : warm.opens) opened(from, sent, each);
     for (const Warm::Cession& each : warm.cessions) ceded(from, birth, sent, each);
@@ -385,7 +396,7 @@
     }
 }
 
-void Warmer::tick(Nanos now) {
+void Warmer::tick(Nanoseconds now) {
     now_ = now;
     if (now_ >= nextLook_) look();
     for (auto& [key, mine] : mine_)
@@ -396,8 +407,8 @@
     }
 }
 
-Nanos Warmer::next() const {
-    Nanos when = nextLook_;
+Nanoseconds Warmer::next() const {
+    Nanoseconds when = nextLook_;
     for (const auto& [key, mine] : mine_)
         if (mine.cededTo >= 0) when = std::min(when, mine.cededUntil);
     for (const auto& [key, pot] : pots_) {
@@ -407,13 +418,14 @@
         for (const auto& [front, lender] : pot.lenders)
             if (lender.until > now_) rate += lender.part;
         const double lacks = double(pot.queue.front().work) - pot.amount;
-        when = std::min(when, rate > 0 ? now_ + static_cast<Nanos>(std::min(lacks / rate, double(waitsFor)))
-                                       : pot.queue.front().until);
+        when = std::min(when, rate > 0
+                                  ? now_ + static_cast<Nanoseconds>(std::min(lacks / rate, double(waitsFor)))
+                                  : pot.queue.front().until);
     }
-    return std::max(when, now_ + millis(1));
+    return std::max(when, now_ + milliseconds(1));
 }
 
-void Warmer::leave(Nanos now) {
+void Warmer::leave(Nanoseconds now) {
     now_ = now;
     if (std::exchange(leaving_, true)) return;
     for (auto& [key, pot] : pots_) {
@@ -422,9 +434,9 @@
     }
 }
 
-Nanos Warmer::outFor(Key key) const {
+Nanoseconds Warmer::outFor(Key key) const {
     const auto found = pots_.find(key);
-    return found == pots_.end() ? 0 : std::max<Nanos>(0, found->second.lastEnd - now_);
+    return found == pots_.end() ? 0 : std::max<Nanoseconds>(0, found->second.lastEnd - now_);
 }
 
 }  // namespace granitereel::owners
--- a/src/policy/freshness.cpp
+++ b/src/policy/freshness.cpp
@@ -1,43 +1,44 @@
-// Which replica may serve a read, and when one is asked how far it is.
+// Which replica may serve a read, and when one is probed for its position.
 #include "policy/shared.hpp"
 
 namespace granitereel {
 
-bool Front::freshEnough(const Store& store, const Transaction& transaction) const {
-    const Lane& lane = lanes_[transaction.lane];
-    switch (lane.need) {
-        case Need::any:
+bool Router::isFreshEnough(const Store& store, const Transaction& txn) const {
+    const TransactionClass& txnClass = classes_[txn.classIndex];
+    switch (txnClass.consistency) {
+        case Consistency::eventual:
             return true;
-        case Need::bounded:
-            // A millisecond is kept against rounding on the way.
-            return store.position >= now_ - lane.bound + millis(1);
-        case Need::session:
-            return transaction.mustSee == 0 || store.position >= transaction.mustSee;
+        case Consistency::bounded:
+            // A millisecond of margin for rounding on the wire.
+            return store.position >= now_ - txnClass.maxStaleness + milliseconds(1);
+        case Consistency::session:
+            return txn.minPosition == 0 || store.position >= txn.minPosition;
         default:
             return false;
     }
 }
 
-// Whether a replica that applies the log as fast as it comes would meet the need by the end of its wait. One
-// that was never asked may: what does not hold, the store itself says.
-bool Front::mayCatchUp(const Store& store, const Transaction& transaction) const {
-    const Lane& lane = lanes_[transaction.lane];
-    const Nanos lag = store.positionTold - store.position;
-    const Nanos need = lane.need == Need::bounded ? now_ - lane.bound : transaction.mustSee;
-    return store.position < 0 || now_ + charter_.catchUpWait - lag >= need;
+// Whether a replica that applies the log as fast as it comes would be fresh enough by the end of its wait.
+// One of unknown position may: the store itself refuses what it can't serve.
+bool Router::mayCatchUp(const Store& store, const Transaction& txn) const {
+    const TransactionClass& txnClass = classes_[txn.classIndex];
+    const Nanoseconds lag = store.positionUpdatedAt - store.position;
+    const Nanoseconds needed =
+        txnClass.consistency == Consistency::bounded ? now_ - txnClass.maxStaleness : txn.minPosition;
+    return store.position < 0 || now_ + config_.catchUpTimeout - lag >= needed;
 }
 
-bool Front::mayReadPrimary(const Store& store) const {
-    return store.standing == Standing::up && !store.toldReplica;
+bool Router::mayReadPrimary(const Store& store) const {
+    return store.state == StoreState::up && !store.saysReplica;
 }
 
-// A replica is asked when its known position is older than half the bound and no answer has renewed it. One
-// that lags is not asked again before it can have caught up by some part: a quarter of its lag, two seconds
-// at most, keeps probes few where the log is slow everywhere.
-bool Front::probeIsDue(const Store& store) const {
+// A replica is probed when its known position is older than half the bound. One that lags is not probed again
+// before it can have caught up by some part: a quarter of its lag, two seconds at most, keeps probes few
+// where all lag.
+bool Router::probeIsDue(const Store& store) const {
     if (now_ - store.position <= probeAge_) return false;
-    const Nanos lag = std::min((store.positionTold - store.position) / 4, millis(2000));
-    return now_ - std::max(store.positionTold, store.probedAt) > std::max(probeAge_, lag);
+    const Nanoseconds lag = std::min((store.positionUpdatedAt - store.position) / 4, milliseconds(2000));
+    return now_ - std::max(store.positionUpdatedAt, store.probedAt) > std::max(probeAge_, lag);
 }
 
 }  // namespace granitereel
--- a/src/policy/guards.cpp
+++ b/src/policy/guards.cpp
@@ -1,33 +1,39 @@
-// The rule guards: the last word before every launch and nack.
+// The rule guards: the final check before every attempt and rejection.
 #include "policy/shared.hpp"
 
 namespace granitereel {
 
-bool Front::mayLaunch(const Transaction& t, const Store& store) const {
-    const Lane& lane = lanes_[t.lane];
-    if (store.standing != Standing::up || t.out > 0 || t.launches >= charter_.launchLimit) return false;
-    if (!t.mayHaveRunSince || lane.effect == Effect::harmless) return true;
-    if (lane.effect == Effect::oneShot || now_ >= t.mayHaveRunSince + lane.window) return false;
-    return lane.reach != Reach::zone || store.zone == t.boundZone;
+bool Router::mayStartAttempt(const Transaction& txn, const Store& store) const {
+    const TransactionClass& txnClass = classes_[txn.classIndex];
+    if (store.state != StoreState::up || txn.inFlight > 0 || txn.attempts >= config_.maxAttempts)
+        return false;
+    if (!txn.mayHaveRunSince || txnClass.retrySafety == RetrySafety::idempotent) return true;
+    if (txnClass.retrySafety == RetrySafety::unsafe ||
+        now_ >= txn.mayHaveRunSince + txnClass.deduplicationWindow)
+        return false;
+    return txnClass.deduplicationScope != DeduplicationScope::zone || store.zone == txn.pinnedZone;
 }
 
-// Between the pick and the first byte on the wire lies the connecting. It guards against a list or an answer
-// that comes meanwhile, and a position grown too old; it costs a launch of the few that a transaction has.
-bool Front::mayStillGo(const std::string& id, const std::string& storeId) const {
-    const Transaction* t = inHand(id);
-    const Store* store = find(storeId);
-    if (!t || !store || store->standing != Standing::up) return false;
-    const Need need = lanes_[t->lane].need;
-    if (need == Need::any || need == Need::write || charter_.storesCheck || freshEnough(*store, *t))
+// A connection may be opened between selection and the first byte sent. It guards against a list or a
+// response that comes meanwhile, and a position grown too old; it costs one of a transaction's few attempts.
+bool Router::mayStillSend(const std::string& id, const std::string& storeId) const {
+    const Transaction* txn = findTransaction(id);
+    const Store* store = findStore(storeId);
+    if (!txn || !store || store->state != StoreState::up) return false;
+    const Consistency consistency = classes_[txn->classIndex].consistency;
+    if (consistency == Consistency::eventual || consistency == Consistency::write ||
+        config_.storesCheckFreshness || isFreshEnough(*store, *txn))
         return true;
-    return t->group->primary == store && mayReadPrimary(*store);
+    return txn->group->primary == store && mayReadPrimary(*store);
 }
 
-bool Front::mayNack(const Transaction& t) const {
-    const Lane& lane = lanes_[t.lane];
-    if (lane.effect == Effect::harmless) return true;
-    if (lane.effect == Effect::stamped && lane.reach == Reach::everywhere) return true;
-    return t.out == 0 && !t.mayHaveRunSince;
+bool Router::mayReject(const Transaction& txn) const {
+    const TransactionClass& txnClass = classes_[txn.classIndex];
+    if (txnClass.retrySafety == RetrySafety::idempotent) return true;
+    if (txnClass.retrySafety == RetrySafety::deduplicated &&
+        txnClass.deduplicationScope == DeduplicationScope::global)
+        return true;
+    return txn.inFlight == 0 && !txn.mayHaveRunSince;
 }
 
 }  // namespace granitereel
--- a/src/proxy/acknowledge.cpp
+++ b/src/proxy/acknowledge.cpp
@@ -71,7 +71,7 @@
         if (op.line)
             prelude(s, *op.line);
         else if (store.id != of.lead)
-            report(launchedOf(op), store, Ending::unsent, {}, false);
+            report(launchedOf(op), store, AttemptOutcome::notSent, {}, false);
         else
             placeAt(s, store);
     }
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -29,7 +29,7 @@
     if (!pinned && !safe(s, *line.store, after, op.guarded)) {
         op.line = nullptr;
         idle(line);
-        return report(launchedOf(op), *line.store, Ending::missed, {}, false);
+        return report(launchedOf(op), *line.store, AttemptOutcome::notEligible, {}, false);
     }
     op.preluding = true;
     op.after.clear();
@@ -131,12 +131,13 @@
 
 namespace {
 // What an error that promises that nothing ran says of its store.
-Ending endingOf(Error error) {
-    return error == Error::busy || error == Error::full ? Ending::full : Ending::missed;
+AttemptOutcome endingOf(Error error) {
+    return error == Error::busy || error == Error::full ? AttemptOutcome::overloaded
+                                                        : AttemptOutcome::notEligible;
 }
 }  // namespace
 
-std::optional<Nanos> Pooler::covers(const Store& store, const Answer& answer) const {
+std::optional<Nanoseconds> Pooler::covers(const Store& store, const Answer& answer) const {
     return answer.mark ? store.service->horizon.holds(*answer.mark) : std::nullopt;
 }
 
@@ -148,7 +149,7 @@
     op.lastText = answer.errorText;
     op.line = nullptr;
     op.preluding = false;
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     letGo(line);
     report(launchedOf(op), store, endingOf(*answer.error), position, false);
 }
@@ -183,7 +184,7 @@
 
 void Pooler::commitAnswered(Session& s, Line& line, const Answer& answer) {
     Store& store = *line.store;
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     if (!answer.error && s.tx->written && answer.mark) {
         s.own = *answer.mark;
         s.ownAt = line.askedAt;
@@ -197,7 +198,7 @@
         acknowledge(s, *store.service, answer);
     else
         reply(s, answer, 'I');
-    report(launched, store, answer.error ? Ending::error : Ending::delivered, position, true);
+    report(launched, store, answer.error ? AttemptOutcome::error : AttemptOutcome::succeeded, position, true);
     letGo(line);
 }
 
@@ -215,14 +216,14 @@
         s.tx->begun = false;
         s.line = nullptr;
     }
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     letGo(line);
     report(launchedOf(op), store, endingOf(*answer.error), position, false);
 }
 
 void Pooler::transactionAnswered(Session& s, Line& line, const Answer& answer) {
     Store& store = *line.store;
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     const Launched launched = launchedOf(*s.op);
     const bool ended = answer.state == 'I';  // by the store
     if (ended) {
@@ -230,7 +231,7 @@
         line.user = nullptr;
     }
     reply(s, answer, answer.state);
-    report(launched, store, answer.error ? Ending::error : Ending::delivered, position, true);
+    report(launched, store, answer.error ? AttemptOutcome::error : AttemptOutcome::succeeded, position, true);
     if (ended) idle(line);
 }
 
@@ -240,14 +241,14 @@
         s.own = *answer.mark;
         s.ownAt = line.askedAt;
     }
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     const Launched launched = launchedOf(*s.op);
     line.user = nullptr;
     if (s.op->writes)
         acknowledge(s, *store.service, answer);
     else
         reply(s, answer, 'I');
-    report(launched, store, Ending::delivered, position, true);
+    report(launched, store, AttemptOutcome::succeeded, position, true);
     letGo(line);
 }
 
@@ -259,9 +260,9 @@
     op.lastText = answer.errorText;
     op.line = nullptr;
     op.sent = false;
-    const std::optional<Nanos> position = covers(store, answer);
+    const std::optional<Nanoseconds> position = covers(store, answer);
     letGo(line);
-    report(launchedOf(op), store, Ending::error, position, false);
+    report(launchedOf(op), store, AttemptOutcome::error, position, false);
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/horizon.cpp
+++ b/src/proxy/horizon.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 // Pairs closer together than this tell no more; kept for longer than any staleness worth a replica.
-constexpr Nanos apart = millis(20);
+constexpr Nanoseconds apart = milliseconds(20);
 constexpr std::size_t kept = 400;
 }  // namespace
 
-void Horizon::saw(const Mark& mark, Nanos asked) {
+void Horizon::saw(const Mark& mark, Nanoseconds asked) {
     // Answers overtake each other: one to a later question may show less than one heard before, and covers
     // its moment all the same only with the greater of both.
     if (!pairs_.empty()) {
@@ -29,26 +29,26 @@
     if (pairs_.size() > kept) pairs_.pop_front();
 }
 
-std::optional<Mark> Horizon::covering(Nanos since) const {
+std::optional<Mark> Horizon::covering(Nanoseconds since) const {
     return covering(since, 0);
 }
 
-std::optional<Mark> Horizon::covering(Nanos since, std::uint64_t term) const {
+std::optional<Mark> Horizon::covering(Nanoseconds since, std::uint64_t term) const {
     auto at = std::lower_bound(pairs_.begin(), pairs_.end(), since,
-                               [](const Pair& pair, Nanos when) { return pair.asked < when; });
+                               [](const Pair& pair, Nanoseconds when) { return pair.asked < when; });
     while (at != pairs_.end() && at->mark.term < term) ++at;
     if (at == pairs_.end()) return {};
     return at->mark;
 }
 
-std::optional<Nanos> Horizon::holds(const Mark& mark) const {
+std::optional<Nanoseconds> Horizon::holds(const Mark& mark) const {
     auto above = std::upper_bound(pairs_.begin(), pairs_.end(), mark,
                                   [](const Mark& m, const Pair& pair) { return m < pair.mark; });
     if (above == pairs_.begin()) return {};
     return std::prev(above)->asked;
 }
 
-std::optional<Nanos> Horizon::newest() const {
+std::optional<Nanoseconds> Horizon::newest() const {
     if (pairs_.empty()) return {};
     return pairs_.back().asked;
 }
--- a/src/proxy/horizon.hpp
+++ b/src/proxy/horizon.hpp
@@ -8,29 +8,29 @@
 #include <optional>
 
 #include "mark.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::proxy {
 
 class Horizon {
 public:
     // All commits acknowledged before `asked` lie at or below `mark`.
-    void saw(const Mark& mark, Nanos asked);
+    void saw(const Mark& mark, Nanoseconds asked);
     // The lowest position known to hold every commit acknowledged before `since`.
-    std::optional<Mark> covering(Nanos since) const;
+    std::optional<Mark> covering(Nanoseconds since) const;
     // As that, and of this term or a later one.
-    std::optional<Mark> covering(Nanos since, std::uint64_t term) const;
+    std::optional<Mark> covering(Nanoseconds since, std::uint64_t term) const;
     // Every commit acknowledged before this lies at or below the position; none: nothing of the kind is
     // known.
-    std::optional<Nanos> holds(const Mark& mark) const;
+    std::optional<Nanoseconds> holds(const Mark& mark) const;
     // The latest moment for which anything is known.
-    std::optional<Nanos> newest() const;
+    std::optional<Nanoseconds> newest() const;
     bool empty() const { return pairs_.empty(); }
 
 private:
     struct Pair {
         Mark mark;
-        Nanos asked;
+        Nanoseconds asked;
     };
     std::deque<Pair> pairs_;  // both grow
 };
--- a/src/proxy/lead_evidence.cpp
+++ b/src/proxy/lead_evidence.cpp
@@ -11,7 +11,7 @@
     settledUntil_ = 0;
 }
 
-void LeadEvidence::settledUntil(Nanos until) {
+void LeadEvidence::settledUntil(Nanoseconds until) {
     settledUntil_ = std::max(settledUntil_, until);
 }
 
--- a/src/proxy/lead_evidence.hpp
+++ b/src/proxy/lead_evidence.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 
 #include "mark.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::proxy {
 
@@ -17,7 +17,7 @@
 struct AcknowledgedWrite {
     std::optional<Mark> position;  // of the store's log behind the write
     std::uint64_t term = 0;        // in which the store led
-    Nanos answeredAt = 0;          // when the answer came
+    Nanoseconds answeredAt = 0;    // when the answer came
 };
 
 // What becomes of an acknowledged write.
@@ -34,16 +34,16 @@
     void recorded(std::uint64_t term, std::optional<Mark> retained);
     // A lease under which the recorded lead is settled runs until then: until then no promotion counts what
     // the replicas have. It is never taken back, as leases aren't either.
-    void settledUntil(Nanos until);
-    bool settled(Nanos now) const { return now < settledUntil_; }
-    Nanos settledUntil() const { return settledUntil_; }
+    void settledUntil(Nanoseconds until);
+    bool settled(Nanoseconds now) const { return now < settledUntil_; }
+    Nanoseconds settledUntil() const { return settledUntil_; }
     std::uint64_t term() const { return term_; }
     WriteFate fateOf(const AcknowledgedWrite& write) const;
 
 private:
     std::uint64_t term_ = 0;
     std::optional<Mark> retained_;
-    Nanos settledUntil_ = 0;
+    Nanoseconds settledUntil_ = 0;
 };
 
 }  // namespace granitereel::proxy
--- a/src/proxy/lines.cpp
+++ b/src/proxy/lines.cpp
@@ -47,7 +47,7 @@
     outputs_.push_back(OpenLine{no, store.address});
 }
 
-void Pooler::lineOpened(int no, Nanos now) {
+void Pooler::lineOpened(int no, Nanoseconds now) {
     const auto at = lines_.find(no);
     if (at == lines_.end()) return;
     begin(now);
@@ -58,7 +58,7 @@
         no, "GREET " + line.store->service->name + " " + settings_.station + " " + line.store->id + "\r\n"});
 }
 
-void Pooler::lineSaid(int no, std::string_view text, Nanos now) {
+void Pooler::lineSaid(int no, std::string_view text, Nanoseconds now) {
     const auto at = lines_.find(no);
     if (at == lines_.end() || at->second->dead) return;
     begin(now);
@@ -85,7 +85,7 @@
     settle();
 }
 
-void Pooler::lineEnded(int no, bool refused, Nanos now) {
+void Pooler::lineEnded(int no, bool refused, Nanoseconds now) {
     const auto at = lines_.find(no);
     if (at == lines_.end() || at->second->dead) return;
     begin(now);
@@ -105,7 +105,7 @@
         if (answer.mark && line.proven) store.service->horizon.saw(*answer.mark, line.askedAt);
         if (std::exchange(line.probe, false)) {
             store.probing = false;
-            front_.probed(store.id, Ending::delivered);
+            front_.probeEnded(store.id, AttemptOutcome::succeeded);
         }
         return idle(line);
     }
@@ -113,11 +113,12 @@
         outputs_.push_back(CloseLine{line.no});
         return ended(line, false);
     }
-    const Ending how = errorOf(takeField(rest)) == Error::full ? Ending::full : Ending::unreachable;
+    const AttemptOutcome how =
+        errorOf(takeField(rest)) == Error::full ? AttemptOutcome::overloaded : AttemptOutcome::unreachable;
     drop(line);
     if (line.probe) {
         store.probing = false;
-        front_.probed(store.id, how);
+        front_.probeEnded(store.id, how);
     }
     refuseWaiting(store, how);
 }
@@ -180,7 +181,7 @@
 }
 
 // No connection could be had for those who wait for one there.
-void Pooler::refuseWaiting(Store& store, Ending how) {
+void Pooler::refuseWaiting(Store& store, AttemptOutcome how) {
     for (const int client : std::exchange(store.waiting, {})) {
         const auto who = sessions_.find(client);
         if (who == sessions_.end() || !who->second->op || who->second->op->store != &store) continue;
@@ -202,10 +203,10 @@
     if (!atRest || refused) suspect(store, refused ? "refused" : "broken");
     if (std::exchange(line.probe, false)) {
         store.probing = false;
-        front_.probed(store.id, refused ? Ending::unreachable : Ending::timedOut);
+        front_.probeEnded(store.id, refused ? AttemptOutcome::unreachable : AttemptOutcome::timedOut);
     }
     if (!wasOpen) {
-        refuseWaiting(store, Ending::unreachable);
+        refuseWaiting(store, AttemptOutcome::unreachable);
     }
     if (s) lost(*s, line);
 }
--- a/src/proxy/news.cpp
+++ b/src/proxy/news.cpp
@@ -12,7 +12,7 @@
 constexpr int agentLink = 1;
 }  // namespace
 
-void Pooler::agentUp(Nanos now) {
+void Pooler::agentUp(Nanoseconds now) {
     begin(now);
     agent_ = true;
     askedAt_ = 0;
@@ -27,7 +27,7 @@
     leaseQuestions_.forget();
 }
 
-void Pooler::agentSaid(const Json& message, Nanos now) {
+void Pooler::agentSaid(const Json& message, Nanoseconds now) {
     begin(now);
     const std::string kind = message.at("k");
     gossip_.advance(now, lease_.valid(now));
@@ -71,7 +71,7 @@
         int fronts = 0;
         gossip_.board().under("front/", [&](auto&, const board::Record& r) { fronts += r.body.is_object(); });
         fronts_ = std::max(1, fronts);
-        front_.present(fronts_);
+        front_.setProxyCount(fronts_);
     }
 }
 
@@ -138,16 +138,18 @@
 // A primary that winds down leads until its successor does, for as long as it may be used at all.
 void Pooler::standing(Store& store) {
     Service& of = *store.service;
-    Standing to = store.gone ? Standing::removed : store.windingSince ? Standing::draining : Standing::up;
-    if (to == Standing::draining && of.lead == store.id &&
-        now_ - store.windingSince < millis(settings_.drain_ms - 1500))
-        to = Standing::up;
+    StoreState to = store.gone           ? StoreState::removed
+                    : store.windingSince ? StoreState::draining
+                                         : StoreState::up;
+    if (to == StoreState::draining && of.lead == store.id &&
+        now_ - store.windingSince < milliseconds(settings_.drain_ms - 1500))
+        to = StoreState::up;
     const int zone =
         districts_.try_emplace(store.district, static_cast<int>(districts_.size())).first->second;
     front_.listBegins(false);
     front_.listEntry(store.id, of.group, zone, to, 0, false);
     front_.listEnds();
-    front_.leads(of.group, of.lead);
+    front_.setDecidedPrimary(of.group, of.lead);
 }
 
 void Pooler::leadNews(const std::string& name, const Json& body) {
@@ -165,7 +167,7 @@
 }
 
 void Pooler::leadChanged(Service& of, const std::string& before) {
-    front_.leads(of.group, of.lead);
+    front_.setDecidedPrimary(of.group, of.lead);
     for (auto& [id, store] : of.stores)
         if (store->windingSince) standing(*store);
     outputs_.push_back(ToLog{of.name + " is led by " + of.lead + " in term " + std::to_string(of.term)});
@@ -189,7 +191,7 @@
         if (s) lost(*s, *line);
     }
     const auto at = stores_.find(storeId);
-    if (at != stores_.end()) refuseWaiting(*at->second, Ending::unsent);
+    if (at != stores_.end()) refuseWaiting(*at->second, AttemptOutcome::notSent);
 }
 
 // A front whose record may have been taken down has no share any more but for one connection.
--- a/src/proxy/pooler.cpp
+++ b/src/proxy/pooler.cpp
@@ -8,23 +8,23 @@
 namespace granitereel::proxy {
 
 namespace {
-Charter charterOf(const settings::Settings& settings, int zone) {
-    Charter charter;
+RoutingConfig charterOf(const settings::Settings& settings, int zone) {
+    RoutingConfig charter;
     // Pools are dealt rotated by a number of the front's own.
-    charter.front = static_cast<int>(std::hash<std::string>()(settings.station) % 1024);
+    charter.proxyIndex = static_cast<int>(std::hash<std::string>()(settings.station) % 1024);
     charter.zone = zone;
-    charter.launchLimit = launchLimit;
-    charter.mayProbe = charter.mayCancel = charter.adviceHeard = true;
-    charter.longestAdvice = millis(10 * comeBack_ms);
-    charter.tick = millis(1);
-    charter.crossingCost = 0.01;
-    charter.nearAnyTier = true;
-    charter.holdShare = 0.45;  // the way to the client counts, too
+    charter.maxAttempts = launchLimit;
+    charter.probesAllowed = charter.cancelAllowed = charter.clientsHonorRetryAfter = true;
+    charter.maxRetryAfter = milliseconds(10 * comeBack_ms);
+    charter.tick = milliseconds(1);
+    charter.crossZoneCost = 0.01;
+    charter.preferZoneOverTier = true;
+    charter.maxQueueShare = 0.45;  // the way to the client counts, too
     return charter;
 }
 }  // namespace
 
-Pooler::Pooler(const settings::Settings& settings, std::uint64_t seed, Nanos now)
+Pooler::Pooler(const settings::Settings& settings, std::uint64_t seed, Nanoseconds now)
     : settings_(settings),
       now_(now),
       startedAt_(now),
@@ -36,9 +36,9 @@
 
 Pooler::~Pooler() = default;
 
-void Pooler::begin(Nanos now) {
+void Pooler::begin(Nanoseconds now) {
     now_ = now;
-    front_.clock(now);
+    front_.setTime(now);
 }
 
 // What the module asked for while it was told something is done behind it.
@@ -82,7 +82,7 @@
     s.op->line = nullptr;
     s.op->store = nullptr;
     s.op->sent = s.op->preluding = false;
-    report(launchedOf(*s.op), store, Ending::cancelled, {}, false);
+    report(launchedOf(*s.op), store, AttemptOutcome::cancelled, {}, false);
 }
 
 void Pooler::placeLaunch(const std::string& key, const std::string& store) {
@@ -94,14 +94,14 @@
 // the store itself checks. Only one that may be away is tried, by a connection.
 void Pooler::probeStore(const std::string& id) {
     const auto at = stores_.find(id);
-    if (at == stores_.end()) return front_.probed(id, Ending::unreachable);
+    if (at == stores_.end()) return front_.probeEnded(id, AttemptOutcome::unreachable);
     Store& store = *at->second;
     const bool open = std::any_of(lines_.begin(), lines_.end(), [&](auto& each) {
         return each.second->store == &store && each.second->open && !each.second->dead;
     });
-    if (open && now_ - store.suspectedAt > millis(1000)) {
-        if (const auto newest = store.service->horizon.newest()) front_.reported(id, *newest, {});
-        front_.probed(id, Ending::delivered);
+    if (open && now_ - store.suspectedAt > milliseconds(1000)) {
+        if (const auto newest = store.service->horizon.newest()) front_.storeReported(id, *newest, {});
+        front_.probeEnded(id, AttemptOutcome::succeeded);
     } else if (!store.probing) {
         store.probing = true;
         openLine(store, true);
@@ -118,18 +118,18 @@
     return configured_ && !stores_.empty() && waitsNoMore && !leaving_;
 }
 
-void Pooler::leave(Nanos now) {
+void Pooler::leave(Nanoseconds now) {
     begin(now);
     if (!leaving_) leftAt_ = now;
     leaving_ = true;
 }
 
-void Pooler::tick(Nanos now) {
+void Pooler::tick(Nanoseconds now) {
     begin(now);
     gossip_.advance(now, lease_.valid(now));
     if (auto line = contact_.seen(lease_.until(), now)) log(*line);
     askForLease();
-    if (now >= wakeAt_) front_.woke(0);
+    if (now >= wakeAt_) front_.timerFired(0);
     settle();
     if (now - sweptAt_ < sweepEvery) return;
     sweptAt_ = now;
@@ -175,8 +175,9 @@
 // Rolls back a transaction that rests for too long, or past the first half of the time to end.
 void Pooler::endRest(Session& s, Line& line) {
     if (!s.tx || !s.tx->begun) return;
-    const bool rests = configuration_.txIdle_ms > 0 && now_ - s.restsSince > millis(configuration_.txIdle_ms);
-    const bool ends = leaving_ && now_ - leftAt_ > millis(settings_.grace_ms / 2);
+    const bool rests =
+        configuration_.txIdle_ms > 0 && now_ - s.restsSince > milliseconds(configuration_.txIdle_ms);
+    const bool ends = leaving_ && now_ - leftAt_ > milliseconds(settings_.grace_ms / 2);
     if (!rests && !ends) return;
     release(line, "-");
     s.line = nullptr;
@@ -195,13 +196,13 @@
         s->op->lastError = Error::busy;
         s->op->lastText = "no connection; come back in " + std::to_string(comeBack_ms) + " ms";
         answerLast(*s);
-        report(launched, store, Ending::unsent, {}, true);
+        report(launched, store, AttemptOutcome::notSent, {}, true);
     }
 }
 
 // Ends sessions at rest, and all of them shortly before the time to end is over.
 void Pooler::endLeaving() {
-    const bool all = now_ - leftAt_ > millis(settings_.grace_ms - 500);
+    const bool all = now_ - leftAt_ > milliseconds(settings_.grace_ms - 500);
     std::vector<int> rest;
     for (auto& [client, s] : sessions_) {
         const bool atRest = !s->op && ((s->state == 'I' && s->queue.empty()) || s->state == 'E');
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -19,12 +19,12 @@
 #include "board/invariant.hpp"
 #include "board/lease.hpp"
 #include "configuration/configuration.hpp"
-#include "front.hpp"
 #include "proxy/answer.hpp"
 #include "proxy/horizon.hpp"
 #include "proxy/lead_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "proxy/wire.hpp"
+#include "router.hpp"
 #include "settings/settings.hpp"
 
 namespace granitereel::proxy {
@@ -69,24 +69,24 @@
                   replicaFar = 0;
 };
 
-class Pooler : private Outlet {
+class Pooler : private RouterOutput {
 public:
-    Pooler(const settings::Settings& settings, std::uint64_t seed, Nanos now);
+    Pooler(const settings::Settings& settings, std::uint64_t seed, Nanoseconds now);
     ~Pooler() override;
 
-    void clientCame(int client, Nanos now);
-    void clientSaid(int client, std::string_view line, Nanos now);
-    void clientLeft(int client, Nanos now);
-    void lineOpened(int line, Nanos now);
-    void lineSaid(int line, std::string_view text, Nanos now);
-    void lineEnded(int line, bool refused, Nanos now);
+    void clientCame(int client, Nanoseconds now);
+    void clientSaid(int client, std::string_view line, Nanoseconds now);
+    void clientLeft(int client, Nanoseconds now);
+    void lineOpened(int line, Nanoseconds now);
+    void lineSaid(int line, std::string_view text, Nanoseconds now);
+    void lineEnded(int line, bool refused, Nanoseconds now);
     // The link to the agent: it is there, it is lost, it says something.
-    void agentUp(Nanos now);
+    void agentUp(Nanoseconds now);
     void agentDown();
-    void agentSaid(const Json& message, Nanos now);
-    void tick(Nanos now);
+    void agentSaid(const Json& message, Nanoseconds now);
+    void tick(Nanoseconds now);
     // The process is told to end: sessions at rest are closed, transactions are given `half` to end.
-    void leave(Nanos now);
+    void leave(Nanoseconds now);
     bool ready() const;
     bool over() const { return leaving_ && sessions_.empty(); }
 
@@ -107,7 +107,7 @@
         std::set<int> idle;
         int lines = 0;
         bool gone = false, probing = false;
-        Nanos windingSince = 0, heard = 0, suspectedAt = 0;
+        Nanoseconds windingSince = 0, heard = 0, suspectedAt = 0;
         std::deque<int> waiting;  // clients whose statement waits for a line
     };
     struct Service {
@@ -119,7 +119,7 @@
         LeadEvidence evidence;
         ReplicaEvidence replicas;
         int syncReplicas = 0;
-        Nanos usedAt = 0;          // when a client's statement was last sent to one of its stores
+        Nanoseconds usedAt = 0;    // when a client's statement was last sent to one of its stores
         std::deque<int> deferred;  // clients whose write waits until the lead is settled
         Horizon horizon;
         std::map<std::string, Store*> stores;
@@ -142,7 +142,7 @@
         bool inTx = false;        // the store holds a transaction of ours open
         std::deque<Part> expects;
         AnswerReader reader;
-        Nanos askedAt = 0, usedAt = 0, heardAt = 0, abandonedAt = 0;
+        Nanoseconds askedAt = 0, usedAt = 0, heardAt = 0, abandonedAt = 0;
         // It was open while its service's lead was settled: its store has not started since.
         bool witness = false;
         // A success of what it was asked last shows that the store had the lead when it was asked.
@@ -160,13 +160,13 @@
         std::string key;  // by which Front knows it; empty: it goes to the line that the session is pinned to
         std::string after, text;  // as the store gets it
         std::string prepared;
-        int lane = 0, launches = 0;
+        int classIndex = 0, launches = 0;
         bool writes = false, commit = false, guarded = false, sent = false, preluding = false;
         bool deferred = false;  // a write that waits until the lead is settled
         std::optional<Unproven> unproven;
         Store* store = nullptr;
         Line* line = nullptr;
-        Nanos came = 0, launchedAt = 0, deadline = 0;
+        Nanoseconds came = 0, launchedAt = 0, deadline = 0;
         std::optional<Error> lastError;
         std::string lastText;
     };
@@ -174,7 +174,7 @@
     struct Launched {
         std::string key;
         int number = 0;
-        Nanos at = 0;
+        Nanoseconds at = 0;
     };
     struct Tx {
         Tx() {}  // clang wants it before the class around it is whole
@@ -182,7 +182,7 @@
         bool wrote = false;    // a write was sent
         bool written = false;  // a write has succeeded
         std::string beginId;
-        Nanos came = 0;
+        Nanoseconds came = 0;
         configuration::Route route;
     };
     struct Session {
@@ -196,25 +196,25 @@
         std::optional<Op> op;
         Line* line = nullptr;  // pinned to
         std::optional<Mark> own;
-        Nanos ownAt = 0, restsSince = 0;
+        Nanoseconds ownAt = 0, restsSince = 0;
         std::deque<std::string> queue;
         std::size_t queued = 0;
     };
 
     // Outlet
-    void launch(const std::string& key, const std::string& store, Nanos within) override;
-    void nack(const std::string& key, Nanos comeBackAfter) override;
-    void writeOff(const std::string& key) override;
+    void startAttempt(const std::string& key, const std::string& store, Nanoseconds within) override;
+    void reject(const std::string& key, Nanoseconds comeBackAfter) override;
+    void reportIndeterminate(const std::string& key) override;
     void cancel(const std::string& key, int launchNo) override;
     void probe(const std::string& store) override;
-    void hangUp(const std::string& store) override;
-    void followList(bool) override {}
-    void askList() override {}
-    void tell(std::optional<int>, const std::string&) override {}
-    void wake(Nanos when, std::int64_t) override { wakeAt_ = when; }
+    void closeIdleConnections(const std::string& store) override;
+    void subscribeToList(bool) override {}
+    void requestList() override {}
+    void send(std::optional<int>, const std::string&) override {}
+    void wakeAt(Nanoseconds when, std::int64_t) override { wakeAt_ = when; }
     void log(const std::string& line) override { outputs_.push_back(ToLog{line}); }
 
-    void begin(Nanos now);
+    void begin(Nanoseconds now);
     void settle();
     void cancelLaunch(const std::string& key, int launchNo);
     void placeLaunch(const std::string& key, const std::string& store);
@@ -276,7 +276,7 @@
     // The store's answer as the statement's final one.
     void reply(Session& s, const Answer& answer, char state);
     // The moment up to which an answer's position is known to cover all commits.
-    std::optional<Nanos> covers(const Store& store, const Answer& answer) const;
+    std::optional<Nanoseconds> covers(const Store& store, const Answer& answer) const;
     // The connection's answers can't be matched to its questions any more.
     void outOfStep(Line& line);
     // What the line was asked for interests nobody any more; it serves others once it has answered.
@@ -285,16 +285,17 @@
     void timeOver(Session& s, Line& line);
     static Launched launchedOf(const Op& op) { return {op.key, op.launches - 1, op.launchedAt}; }
     // Tells Front how a launch ended, and whether the statement has had its final answer.
-    void report(const Launched& launched, Store& store, Ending how, std::optional<Nanos> position, bool over);
+    void report(const Launched& launched, Store& store, AttemptOutcome how,
+                std::optional<Nanoseconds> position, bool over);
     void lags(Store& store, std::optional<Mark> mark);
     void release(Line& line, const std::string& abortId);
     void idle(Line& line);
     void drop(Line& line);
     void serveWaiting(Store& store);
-    void refuseWaiting(Store& store, Ending how);
+    void refuseWaiting(Store& store, AttemptOutcome how);
     void endTx(Session& s);
     void ended(Line& line, bool refused);
-    void lost(Session& s, Line& line, Ending how = Ending::broken);
+    void lost(Session& s, Line& line, AttemptOutcome how = AttemptOutcome::connectionLost);
     void remove(int client);
     void unwait(Session& s);
     void suspect(Store& store, const char* why);
@@ -305,13 +306,13 @@
 
     const settings::Settings settings_;
     std::vector<Output> outputs_;
-    Nanos now_, wakeAt_ = 0;
-    const Nanos startedAt_;
+    Nanoseconds now_, wakeAt_ = 0;
+    const Nanoseconds startedAt_;
     board::Gossip gossip_;
-    Front front_;
+    Router front_;
     configuration::Configuration configuration_;
     bool configured_ = false, leaving_ = false, agent_ = false;
-    Nanos leftAt_ = 0, askedAt_ = 0, sweptAt_ = 0, configuredAt_ = 0;
+    Nanoseconds leftAt_ = 0, askedAt_ = 0, sweptAt_ = 0, configuredAt_ = 0;
     std::uint64_t keyNo_ = 0;
     board::LeaseQuestions leaseQuestions_;
     board::HeldLease lease_;
--- a/src/proxy/program.cpp
+++ b/src/proxy/program.cpp
@@ -19,7 +19,7 @@
 
 // A client that takes none of its answers is let go once so much waits for it.
 constexpr std::size_t unsentMost = 4 * 1024 * 1024;
-constexpr Nanos countsEvery = millis(10'000);
+constexpr Nanoseconds countsEvery = milliseconds(10'000);
 
 class Program {
 public:
@@ -61,7 +61,7 @@
                 }
             } else {
                 spdlog::info("leaving: {} sessions", pooler_.sessions());
-                endAt_ = steadyNow() + millis(settings_.grace_ms - 300);
+                endAt_ = steadyNow() + milliseconds(settings_.grace_ms - 300);
                 leftAt_ = steadyNow();
                 pooler_.leave(steadyNow());
                 carryOut();
@@ -71,7 +71,7 @@
     }
 
     void tick() {
-        const Nanos now = steadyNow();
+        const Nanoseconds now = steadyNow();
         pooler_.tick(now);
         carryOut();
         if (now - countedAt_ >= countsEvery) {
@@ -87,7 +87,7 @@
                 c.leadFar, c.replicaNear, c.replicaFar, c.unproven, c.deferred);
         }
         // New connections come for as long as the platform has not seen that this front leaves.
-        if (endAt_ && (now >= endAt_ || (now - leftAt_ > millis(2600) && pooler_.over()))) {
+        if (endAt_ && (now >= endAt_ || (now - leftAt_ > milliseconds(2600) && pooler_.over()))) {
             spdlog::info("left");
             return loop_.stop();
         }
@@ -136,7 +136,7 @@
         pooler_.clientCame(no, steadyNow());
         stream->start(
             [this, no](std::string_view all) {
-                const Nanos now = steadyNow();
+                const Nanoseconds now = steadyNow();
                 std::size_t used = 0;
                 for (std::size_t cut; (cut = all.find("\r\n", used)) != all.npos; used = cut + 2)
                     if (cut - used > longestMessage)
@@ -191,7 +191,7 @@
         lines_[no] = stream;
         stream->start(
             [this, no](std::string_view all) {
-                const Nanos now = steadyNow();
+                const Nanoseconds now = steadyNow();
                 std::size_t used = 0;
                 for (std::size_t cut; (cut = all.find("\r\n", used)) != all.npos; used = cut + 2)
                     pooler_.lineSaid(no, all.substr(used, cut - used), now);
@@ -229,7 +229,7 @@
     std::unordered_map<int, std::shared_ptr<Stream>> clients_, lines_;
     std::size_t clientsMost_;
     int lastClient_ = 0;
-    Nanos endAt_ = 0, leftAt_ = 0, countedAt_ = steadyNow();
+    Nanoseconds endAt_ = 0, leftAt_ = 0, countedAt_ = steadyNow();
     transport::Listener listener_;
     transport::HttpServer ready_;
 };
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -26,8 +26,8 @@
         guarded = true;
         return leads;
     }
-    const Nanos came = s.tx ? s.tx->came : op.came;
-    const Nanos since = came - millis(route->staleness_ms);
+    const Nanoseconds came = s.tx ? s.tx->came : op.came;
+    const Nanoseconds since = came - milliseconds(route->staleness_ms);
     std::optional<Mark> need = of.horizon.covering(since);
     if (route->mode == configuration::Mode::own && s.own) {
         // A position of an earlier term may have been cut back with others' commits; this term's own cover
@@ -49,8 +49,8 @@
 // up.
 void Pooler::lags(Store& store, std::optional<Mark> mark) {
     ++counts_.lagging;
-    const std::optional<Nanos> position = mark ? store.service->horizon.holds(*mark) : std::nullopt;
-    front_.lags(store.id, position.value_or(1));
+    const std::optional<Nanoseconds> position = mark ? store.service->horizon.holds(*mark) : std::nullopt;
+    front_.storeLags(store.id, position.value_or(1));
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/replica_evidence.hpp
+++ b/src/proxy/replica_evidence.hpp
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "mark.hpp"
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 #include "store_row.hpp"
 
 namespace granitereel::proxy {
--- a/src/proxy/sessions.cpp
+++ b/src/proxy/sessions.cpp
@@ -10,7 +10,7 @@
 using Kind = Statement::Kind;
 }  // namespace
 
-void Pooler::clientCame(int client, Nanos now) {
+void Pooler::clientCame(int client, Nanoseconds now) {
     begin(now);
     remove(client);
     auto& slot = sessions_[client];
@@ -20,7 +20,7 @@
     ++counts_.sessions;
 }
 
-void Pooler::clientSaid(int client, std::string_view line, Nanos now) {
+void Pooler::clientSaid(int client, std::string_view line, Nanoseconds now) {
     const auto at = sessions_.find(client);
     if (at == sessions_.end()) return;
     begin(now);
@@ -35,7 +35,7 @@
     settle();
 }
 
-void Pooler::clientLeft(int client, Nanos now) {
+void Pooler::clientLeft(int client, Nanoseconds now) {
     if (!sessions_.count(client)) return;
     begin(now);
     remove(client);
@@ -53,9 +53,9 @@
             const Launched launched = launchedOf(*s.op);
             byKey_.erase(launched.key);
             if (s.op->store)
-                report(launched, *s.op->store, Ending::cancelled, {}, true);
+                report(launched, *s.op->store, AttemptOutcome::cancelled, {}, true);
             else
-                front_.lapsed(launched.key);
+                front_.abandon(launched.key);
         }
         unwait(s);
         if (s.op->line) letGo(*s.op->line);
--- a/src/proxy/statements.cpp
+++ b/src/proxy/statements.cpp
@@ -13,24 +13,25 @@
 }  // namespace
 
 int Pooler::laneOf(const configuration::Route& route, bool writes, bool transaction) {
-    Lane lane;
+    TransactionClass transactionClass;
     const bool plain = writes;
-    lane.need = plain                                           ? Need::write
-                : route.mode == configuration::Mode::headOffice ? Need::fresh
-                : route.mode == configuration::Mode::ageBounded ? Need::bounded
-                                                                : Need::session;
-    lane.effect = plain || transaction ? Effect::oneShot : Effect::harmless;
-    lane.goalTime = millis(route.target_ms);
-    lane.cutOff = millis(route.deadline_ms);
-    lane.bound = millis(route.staleness_ms);
+    transactionClass.consistency = plain                                           ? Consistency::write
+                                   : route.mode == configuration::Mode::headOffice ? Consistency::strong
+                                   : route.mode == configuration::Mode::ageBounded
+                                       ? Consistency::bounded
+                                       : Consistency::session;
+    transactionClass.retrySafety = plain || transaction ? RetrySafety::unsafe : RetrySafety::idempotent;
+    transactionClass.targetLatency = milliseconds(route.target_ms);
+    transactionClass.timeout = milliseconds(route.deadline_ms);
+    transactionClass.maxStaleness = milliseconds(route.staleness_ms);
     // Only order and ratio count: each step of precedence halves what is earned.
-    lane.gain = 4.0 / double(1 << std::min(route.precedence, 8));
-    lane.lateShare = 0.3;
-    lane.name = std::to_string(static_cast<int>(lane.need)) + "/" +
-                std::to_string(static_cast<int>(lane.effect)) + "/" + std::to_string(route.target_ms) + "/" +
-                std::to_string(route.deadline_ms) + "/" + std::to_string(route.staleness_ms) + "/" +
-                std::to_string(route.precedence);
-    return front_.lane(lane);
+    transactionClass.value = 4.0 / double(1 << std::min(route.precedence, 8));
+    transactionClass.lateValueShare = 0.3;
+    transactionClass.name = std::to_string(static_cast<int>(transactionClass.consistency)) + "/" +
+                            std::to_string(static_cast<int>(transactionClass.retrySafety)) + "/" +
+                            std::to_string(route.target_ms) + "/" + std::to_string(route.deadline_ms) + "/" +
+                            std::to_string(route.staleness_ms) + "/" + std::to_string(route.precedence);
+    return front_.indexOfClass(transactionClass);
 }
 
 void Pooler::run(Session& s, Statement statement) {
@@ -51,7 +52,7 @@
         op.text = statement.text;
     }
     op.came = now_;
-    op.deadline = now_ + millis(route->deadline_ms);
+    op.deadline = now_ + milliseconds(route->deadline_ms);
     op.statement = std::move(statement);
     s.op = std::move(op);
     if (s.tx && s.tx->begun) {
@@ -62,15 +63,16 @@
         return prelude(s, *s.line);
     }
     const bool plainTx = s.tx && !s.tx->readOnly;
-    s.op->lane = laneOf(*route, plainTx || s.op->writes, s.tx.has_value());
+    s.op->classIndex = laneOf(*route, plainTx || s.op->writes, s.tx.has_value());
     s.op->key = std::to_string(++keyNo_);
     byKey_[s.op->key] = &s;
-    const Nanos seen = std::max(s.ownAt, now_ - millis(route->staleness_ms));
-    front_.take(s.op->key, s.op->lane, "", millis(route->deadline_ms), service(route->service).group,
-                route->mode == configuration::Mode::own ? std::optional<Nanos>(now_ - seen) : std::nullopt);
+    const Nanoseconds seen = std::max(s.ownAt, now_ - milliseconds(route->staleness_ms));
+    front_.submit(
+        s.op->key, s.op->classIndex, "", milliseconds(route->deadline_ms), service(route->service).group,
+        route->mode == configuration::Mode::own ? std::optional<Nanoseconds>(now_ - seen) : std::nullopt);
 }
 
-void Pooler::launch(const std::string& key, const std::string& store, Nanos) {
+void Pooler::startAttempt(const std::string& key, const std::string& store, Nanoseconds) {
     launches_.emplace_back(key, store);
 }
 
@@ -82,12 +84,12 @@
     probes_.push_back(store);
 }
 
-void Pooler::hangUp(const std::string& id) {
+void Pooler::closeIdleConnections(const std::string& id) {
     const auto at = stores_.find(id);
     if (at != stores_.end() && !at->second->idle.empty()) drop(*lines_.at(*at->second->idle.begin()));
 }
 
-void Pooler::nack(const std::string& key, Nanos) {
+void Pooler::reject(const std::string& key, Nanoseconds) {
     const auto at = byKey_.find(key);
     if (at == byKey_.end()) return;
     Session& s = *at->second;
@@ -98,7 +100,7 @@
     answerLast(s);
 }
 
-void Pooler::writeOff(const std::string& key) {
+void Pooler::reportIndeterminate(const std::string& key) {
     const auto at = byKey_.find(key);
     if (at == byKey_.end()) return;
     Session& s = *at->second;
@@ -131,11 +133,11 @@
         store.waiting.push_back(s.client);
 }
 
-void Pooler::report(const Launched& launched, Store& store, Ending how, std::optional<Nanos> position,
-                    bool over) {
+void Pooler::report(const Launched& launched, Store& store, AttemptOutcome how,
+                    std::optional<Nanoseconds> position, bool over) {
     if (launched.key.empty()) return;
-    front_.ended(launched.key, launched.number, store.id, how, now_ - launched.at, Role::unknown, position,
-                 over);
+    front_.attemptEnded(launched.key, launched.number, store.id, how, now_ - launched.at, Role::unknown,
+                        position, over);
 }
 
 void Pooler::unwait(Session& s) {
@@ -164,18 +166,18 @@
     Op& op = *s.op;
     if (s.tx || (op.writes && op.sent)) {
         drop(line);
-        return lost(s, line, Ending::timedOut);
+        return lost(s, line, AttemptOutcome::timedOut);
     }
     const Launched launched = launchedOf(op);
     op.lastError = Error::busy;
     op.lastText = "no answer in time; come back in " + std::to_string(comeBack_ms) + " ms";
     answerLast(s);
     letGo(line);
-    report(launched, *line.store, Ending::timedOut, {}, true);
+    report(launched, *line.store, AttemptOutcome::timedOut, {}, true);
 }
 
 // The connection under a session is gone, and with it whatever the store held for it that was not committed.
-void Pooler::lost(Session& s, Line& line, Ending how) {
+void Pooler::lost(Session& s, Line& line, AttemptOutcome how) {
     line.user = nullptr;
     Store& store = *line.store;
     if (s.line == &line) s.line = nullptr;
@@ -210,7 +212,7 @@
         return;
     }
     const bool sent = std::exchange(op.sent, false);
-    report(launched, store, sent ? how : Ending::unreachable, {}, false);
+    report(launched, store, sent ? how : AttemptOutcome::unreachable, {}, false);
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/timing.hpp
+++ b/src/proxy/timing.hpp
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::proxy {
 
@@ -13,24 +13,24 @@
 // A client that must come back is told to do so after this.
 inline constexpr int comeBack_ms = 100;
 // Three questions for the lease fit into one.
-inline constexpr Nanos leaseAskEvery = millis(200);
+inline constexpr Nanoseconds leaseAskEvery = milliseconds(200);
 // A proxy that has a configuration says that it is ready without a lease after this.
-inline constexpr Nanos firstLeaseWithin = millis(1'000);
+inline constexpr Nanoseconds firstLeaseWithin = milliseconds(1'000);
 // Where less than this is left of the last lease, it is late, and connections to replicas are opened while it
 // runs: a process that asks in time has more.
-inline constexpr Nanos leaseLate = millis(400);
+inline constexpr Nanoseconds leaseLate = milliseconds(400);
 // A service that was asked for something within this is worth connections that only show what its replicas
 // have.
-inline constexpr Nanos inUse = millis(10'000);
-inline constexpr Nanos sweepEvery = millis(50);
+inline constexpr Nanoseconds inUse = milliseconds(10'000);
+inline constexpr Nanoseconds sweepEvery = milliseconds(50);
 // A lead that is asked and says nothing for so long is told to control, again after as long.
-inline constexpr Nanos silent = millis(250);
+inline constexpr Nanoseconds silent = milliseconds(250);
 // A connection that does not open, or whose answer nobody waits for, is given up after this.
-inline constexpr Nanos openingMost = millis(1'500), abandonedMost = millis(4'000);
+inline constexpr Nanoseconds openingMost = milliseconds(1'500), abandonedMost = milliseconds(4'000);
 // A connection at rest is closed after this.
-inline constexpr Nanos idleLine = millis(25'000);
+inline constexpr Nanoseconds idleLine = milliseconds(25'000);
 // Until the platform has stopped sending new connections: two ready probes a second apart, and some.
-inline constexpr Nanos leftAfter = millis(2'200);
+inline constexpr Nanoseconds leftAfter = milliseconds(2'200);
 // Bytes of a session's statements that may wait; beyond, nothing more is read from it.
 inline constexpr std::size_t queuedMost = 1 << 20;
 
--- a/src/run/charter.cpp
+++ b/src/run/charter.cpp
@@ -8,7 +8,7 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-Nanos nanosOf(double milliseconds) {
+Nanoseconds nanosOf(double milliseconds) {
     return std::llround(milliseconds * 1e6);
 }
 
@@ -51,41 +51,41 @@
 
 Opening readCharter(const object& settings) {
     Opening opening;
-    Charter& charter = opening.charter;
+    RoutingConfig& charter = opening.charter;
     const object caps = part(settings, "caps"), domain = part(settings, "domain"),
                  guarantees = part(settings, "guarantees"), report = part(settings, "report");
 
-    charter.front = static_cast<int>(number(settings, "me"));
-    charter.fronts = static_cast<int>(number(settings, "siblings", 1));
+    charter.proxyIndex = static_cast<int>(number(settings, "me"));
+    charter.proxyCount = static_cast<int>(number(settings, "siblings", 1));
     charter.zone = static_cast<int>(number(settings, "az"));
     charter.tick = nanosOf(number(settings, "tick-ms"));
-    charter.mustAsk = word(settings, "membership-mode") == "ask";
+    charter.listMustBeRequested = word(settings, "membership-mode") == "ask";
 
-    charter.launchLimit = static_cast<int>(number(caps, "try-limit", 1));
-    charter.mayProbe = mark(caps, "probes");
-    charter.mayCancel = mark(caps, "cancel");
+    charter.maxAttempts = static_cast<int>(number(caps, "try-limit", 1));
+    charter.probesAllowed = mark(caps, "probes");
+    charter.cancelAllowed = mark(caps, "cancel");
     opening.mayTell = mark(caps, "may-tell");
-    charter.adviceHeard = mark(caps, "retry-after");
-    charter.longestAdvice = nanosOf(number(caps, "max-retry-after-ms"));
+    charter.clientsHonorRetryAfter = mark(caps, "retry-after");
+    charter.maxRetryAfter = nanosOf(number(caps, "max-retry-after-ms"));
 
-    charter.askWithin = nanosOf(number(guarantees, "ask-within-ms"));
-    charter.coldTime = nanosOf(number(guarantees, "ramp-time-ms"));
-    charter.coldFrom = number(guarantees, "cold-from", 1);
-    charter.fallMultiple = number(guarantees, "fall-multiple", 1);
+    charter.listMaxAge = nanosOf(number(guarantees, "ask-within-ms"));
+    charter.warmUpTime = nanosOf(number(guarantees, "ramp-time-ms"));
+    charter.coldCapacityShare = number(guarantees, "cold-from", 1);
+    charter.overloadMultiple = number(guarantees, "fall-multiple", 1);
     if (const auto charges = present(settings, "charges"))
-        charter.crossingCost = number(object(*charges), "cross-zone");
-    charter.onlyDrainingBinds = mark(guarantees, "drain-binds-alone");
+        charter.crossZoneCost = number(object(*charges), "cross-zone");
+    charter.onlyDrainingIsBinding = mark(guarantees, "drain-binds-alone");
 
     // Zero would mean that no connection is ever in time; a second is what most clients of stores allow.
     opening.connectWithin = nanosOf(number(caps, "connect-timeout-ms", 1000));
     opening.idleLimit = nanosOf(number(caps, "idle-close-ms"));
 
-    charter.storesCheck = word(domain, "guards") != "off";
-    charter.catchUpWait = nanosOf(number(domain, "catch-up-wait-ms"));
-    charter.marksKept = word(domain, "session-marks") == "kept";
+    charter.storesCheckFreshness = word(domain, "guards") != "off";
+    charter.catchUpTimeout = nanosOf(number(domain, "catch-up-wait-ms"));
+    charter.sessionWritesTracked = word(domain, "session-marks") == "kept";
     if (word(report, "how") != "off" && present(report, "fields"))
         for (element field : simdjson::dom::array(report["fields"])) {
-            if (std::string_view(field) == "x1") charter.reportsTellRole = true;
+            if (std::string_view(field) == "x1") charter.reportsIncludeRole = true;
             opening.storesReport = true;
         }
     opening.origin = nanosOf(number(domain, "origin-time-ms"));
@@ -99,28 +99,31 @@
     std::size_t at = 0;
     for (element item : simdjson::dom::array(settings["classes"])) {
         const object from(item);
-        Lane lane;
-        lane.name = word(from, "name");
-        lane.need = named<Need>(std::string_view(needs.at(at)),
-                                {{"eventual", Need::any},
-                                 {"lag_bound", Need::bounded},
-                                 {"causal", Need::session},
-                                 {"strong", Need::fresh},
-                                 {"mutate", Need::write}},
-                                "read level");
-        lane.effect = named<Effect>(
-            word(from, "effect"),
-            {{"repeatable", Effect::harmless}, {"by_key", Effect::stamped}, {"once", Effect::oneShot}},
-            "effect");
+        TransactionClass transactionClass;
+        transactionClass.name = word(from, "name");
+        transactionClass.consistency = named<Consistency>(std::string_view(needs.at(at)),
+                                                          {{"eventual", Consistency::eventual},
+                                                           {"lag_bound", Consistency::bounded},
+                                                           {"causal", Consistency::session},
+                                                           {"strong", Consistency::strong},
+                                                           {"mutate", Consistency::write}},
+                                                          "read level");
+        transactionClass.retrySafety = named<RetrySafety>(word(from, "effect"),
+                                                          {{"repeatable", RetrySafety::idempotent},
+                                                           {"by_key", RetrySafety::deduplicated},
+                                                           {"once", RetrySafety::unsafe}},
+                                                          "effect");
         const std::string_view reach = word(from, "group");
-        lane.reach = reach == "all" ? Reach::everywhere : reach == "zone" ? Reach::zone : Reach::group;
-        lane.gain = double(from["worth"]);
-        lane.lateShare = number(from, "late-value");
-        lane.goalTime = nanosOf(double(from["aim-ms"]));
-        lane.cutOff = nanosOf(number(from, "hard-limit-ms"));
-        lane.window = nanosOf(number(from, "window-ms"));
-        if (bounds) lane.bound = nanosOf(double(simdjson::dom::array(*bounds).at(at)));
-        charter.lanes.push_back(std::move(lane));
+        transactionClass.deduplicationScope = reach == "all"    ? DeduplicationScope::global
+                                              : reach == "zone" ? DeduplicationScope::zone
+                                                                : DeduplicationScope::group;
+        transactionClass.value = double(from["worth"]);
+        transactionClass.lateValueShare = number(from, "late-value");
+        transactionClass.targetLatency = nanosOf(double(from["aim-ms"]));
+        transactionClass.timeout = nanosOf(number(from, "hard-limit-ms"));
+        transactionClass.deduplicationWindow = nanosOf(number(from, "window-ms"));
+        if (bounds) transactionClass.maxStaleness = nanosOf(double(simdjson::dom::array(*bounds).at(at)));
+        charter.classes.push_back(std::move(transactionClass));
         ++at;
     }
     return opening;
--- a/src/run/charter.hpp
+++ b/src/run/charter.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "front.hpp"
+#include "router.hpp"
 
 namespace granitereel {
 
@@ -16,16 +16,16 @@
     using std::runtime_error::runtime_error;
 };
 
-Nanos nanosOf(double milliseconds);
+Nanoseconds nanosOf(double milliseconds);
 std::optional<simdjson::dom::element> present(const simdjson::dom::object& in, std::string_view name);
 
 // The charter, with the figures that only decoding and the network need.
 struct Opening {
-    Charter charter;
-    Nanos origin = 0;
+    RoutingConfig charter;
+    Nanoseconds origin = 0;
     bool stamps = false;
     std::vector<std::string> zones;
-    Nanos connectWithin = 0, idleLimit = 0;
+    Nanoseconds connectWithin = 0, idleLimit = 0;
     bool storesReport = false;
     bool mayTell = false;  // fronts may send each other datagrams
 };
--- a/src/run/fleet.cpp
+++ b/src/run/fleet.cpp
@@ -16,13 +16,13 @@
 // The decisions as the seeking of primaries knows them.
 class Finder final : public owners::Seeker::Finder {
 public:
-    explicit Finder(Desk& desk) : desk_(desk) {}
-    void look(int group) override { desk_.look(group); }
-    void hint(const std::string& store) override { desk_.hinted(store); }
+    explicit Finder(AsyncRouter& desk) : desk_(desk) {}
+    void look(int group) override { desk_.searchForOthers(group); }
+    void hint(const std::string& store) override { desk_.primaryHinted(store); }
     std::optional<std::string> primary(int group) const override { return desk_.primaryOf(group); }
 
 private:
-    Desk& desk_;
+    AsyncRouter& desk_;
 };
 
 // A guest with the decisions beside it, so that both live equally long: what it asks is made before it.
@@ -31,31 +31,32 @@
     Asked asked;
 };
 struct SeekGuest final : private With<Finder>, public owners::SeekClerk {
-    SeekGuest(tier::Members& members, Nanos now, Desk& desk)
+    SeekGuest(tier::Members& members, Nanoseconds now, AsyncRouter& desk)
         : With{Finder(desk)}, owners::SeekClerk(members, now, asked) {}
 };
 
 // The decisions as the warm-up of cold stores knows them.
 class Till final : public owners::Warmer::Till {
 public:
-    explicit Till(Desk& desk) : desk_(desk) {}
+    explicit Till(AsyncRouter& desk) : desk_(desk) {}
     std::vector<owners::Warmer::Cold> cold() override {
         std::vector<owners::Warmer::Cold> all;
-        for (ColdStore& each : desk_.coldStores()) all.push_back({std::move(each.id), each.started, each.part});
+        for (ColdStore& each : desk_.coldStores())
+            all.push_back({std::move(each.id), each.startedAt, each.workShare});
         return all;
     }
-    void cede(const std::string& store, double part) override { desk_.cede(store, part); }
-    void lend(const std::string& store, Nanos work, Nanos until) override {
-        desk_.lend(store, double(work), until);
+    void cede(const std::string& store, double part) override { desk_.offerCredit(store, part); }
+    void lend(const std::string& store, Nanoseconds work, Nanoseconds until) override {
+        desk_.grantCredit(store, double(work), until);
     }
 
 private:
-    Desk& desk_;
+    AsyncRouter& desk_;
 };
 
 struct WarmGuest final : private With<Till>, public owners::WarmClerk {
-    WarmGuest(tier::Members& members, owners::Clerk& leases, const owners::Warmer::Pace& pace, Nanos now, Desk& desk,
-              std::function<void(const std::string&)> log)
+    WarmGuest(tier::Members& members, owners::Clerk& leases, const owners::Warmer::Pace& pace,
+              Nanoseconds now, AsyncRouter& desk, std::function<void(const std::string&)> log)
         : With{Till(desk)}, owners::WarmClerk(members, leases, pace, now, asked, std::move(log)) {}
 };
 
@@ -77,12 +78,12 @@
 }
 
 void hostOwners(tier::Post& post, const Clock& clock, const Station& station, const fittings::Owners& owners,
-                Desk& desk) {
-    const Nanos now = clock.now();
+                AsyncRouter& desk) {
+    const Nanoseconds now = clock.now();
     owners::Terms terms;
-    terms.lease = millis(owners.lease_ms());
-    terms.margin = millis(owners.margin_ms());
-    terms.spread = millis(owners.spread_seconds() * 1000);
+    terms.lease = milliseconds(owners.lease_ms());
+    terms.margin = milliseconds(owners.margin_ms());
+    terms.spread = milliseconds(owners.spread_seconds() * 1000);
     // The seconds of the wall clock: no term is below, see Leases.
     const auto floor = static_cast<std::uint64_t>(now / 1'000'000'000);
     auto clerk = std::make_unique<owners::Clerk>(
@@ -95,25 +96,26 @@
         auto guest = std::make_unique<SeekGuest>(post.members(), now, desk);
         seeks = guest.get();
         post.host(std::move(guest));
-        desk.seeker = [seeks, &clock](int group) { return seeks->seekers(clock.now(), group); };
+        desk.onSearchingProxies = [seeks, &clock](int group) { return seeks->seekers(clock.now(), group); };
     }
     owners::Warmer* warmer = nullptr;
     if (owners.warm_stores()) {
         owners::Warmer::Pace pace;
-        pace.ceded = millis(owners.cede_ms());
+        pace.ceded = milliseconds(owners.cede_ms());
         pace.share = 1 - double(owners.assured_percent()) / 100;
-        auto guest = std::make_unique<WarmGuest>(post.members(), leases, pace, now, desk, [](const std::string& line) {
-            spdlog::info("warm: {}", line);
-        });
+        auto guest =
+            std::make_unique<WarmGuest>(post.members(), leases, pace, now, desk,
+                                        [](const std::string& line) { spdlog::info("warm: {}", line); });
         warmer = &guest->warmer();
         post.host(std::move(guest));
-        desk.borrower = [warmer, &clock, &post](const std::string& store, double work, double gain, Nanos until) {
-            warmer->scarce(clock.now(), store, {static_cast<Nanos>(work), gain, until});
+        desk.onCreditExhausted = [warmer, &clock, &post](const std::string& store, double work, double gain,
+                                                         Nanoseconds until) {
+            warmer->scarce(clock.now(), store, {static_cast<Nanoseconds>(work), gain, until});
             post.stir();
         };
     }
     post.shows = [&leases, seeks, warmer, &clock, &desk](json::object& line) {
-        const Nanos at = clock.now();
+        const Nanoseconds at = clock.now();
         const owners::Owners& shown = leases.owners();
         json::array held;
         for (const owners::Key key : shown.leases().held(at)) {
@@ -121,7 +123,7 @@
             held.push_back(json::object{{"key", shown.leases().nameOf(key)},
                                         {"term", hold.term},
                                         {"owner", line["me"]},
-                                        {"left_ms", (hold.end - at) / millis(1)},
+                                        {"left_ms", (hold.end - at) / milliseconds(1)},
                                         {"mine", true}});
         }
         if (warmer) {
@@ -132,12 +134,14 @@
                                         {"got", told.got},
                                         {"refused", told.refused}};
             for (const auto& [key, seen] : shown.seen())
-                if (const std::string store = warmer->storeOf(key); !store.empty() && seen.owner != line["me"])
-                    held.push_back(json::object{{"key", "warm/" + store},
-                                                {"term", seen.term},
-                                                {"owner", seen.owner},
-                                                {"left_ms", std::max<Nanos>(0, seen.end - at) / millis(1)},
-                                                {"mine", false}});
+                if (const std::string store = warmer->storeOf(key);
+                    !store.empty() && seen.owner != line["me"])
+                    held.push_back(
+                        json::object{{"key", "warm/" + store},
+                                     {"term", seen.term},
+                                     {"owner", seen.owner},
+                                     {"left_ms", std::max<Nanoseconds>(0, seen.end - at) / milliseconds(1)},
+                                     {"mine", false}});
         }
         line["leases"] = held;
         json::object duties;
@@ -165,9 +169,9 @@
 }
 
 std::unique_ptr<tier::Post> fleetOf(asio::any_io_executor on, const Clock& clock, const Station& station,
-                                    const fittings::Fittings& fittings, Desk& desk) {
+                                    const fittings::Fittings& fittings, AsyncRouter& desk) {
     if (!fittings.has_tier() || !fittings.tier().on()) return nullptr;
-    const Charter& charter = station.opening.charter;
+    const RoutingConfig& charter = station.opening.charter;
     if (!station.opening.mayTell || station.peers.empty() || station.peerListen.empty()) {
         spdlog::info("tier: off, the settings allow no telling");
         return nullptr;
@@ -180,22 +184,22 @@
     } catch (const std::invalid_argument& fault) {
         throw Misread(std::string("peer_listen: ") + fault.what());
     }
-    if (charter.front < 0 || static_cast<std::size_t>(charter.front) >= place.peers.size())
-        throw Misread("peers: no place for front " + std::to_string(charter.front));
+    if (charter.proxyIndex < 0 || static_cast<std::size_t>(charter.proxyIndex) >= place.peers.size())
+        throw Misread("peers: no place for front " + std::to_string(charter.proxyIndex));
     const fittings::Tier& tier = fittings.tier();
     place.name = tier.name();
-    place.me = charter.front;
+    place.me = charter.proxyIndex;
     place.seed = station.seed;
-    place.pace.round = millis(tier.round_ms());
-    place.pace.answer = millis(tier.answer_ms());
-    place.pace.goodFor = millis(tier.good_for_ms());
+    place.pace.round = milliseconds(tier.round_ms());
+    place.pace.answer = milliseconds(tier.answer_ms());
+    place.pace.goodFor = milliseconds(tier.good_for_ms());
     place.pace.unconfirmed = static_cast<int>(tier.unconfirmed());
-    place.settled = std::max(1, charter.fronts);
-    // As the program ends: the longest cut-off, of 3 s at most, half a second more, and as much again for what may be
-    // late on its way.
-    place.longestEnd = std::min(longestCutOff(charter), millis(3000)) + millis(1000);
+    place.settled = std::max(1, charter.proxyCount);
+    // As the program ends: the longest cut-off, of 3 s at most, half a second more, and as much again for
+    // what may be late on its way.
+    place.longestEnd = std::min(longestCutOff(charter), milliseconds(3000)) + milliseconds(1000);
     auto post = std::make_unique<tier::Post>(on, clock, std::move(place),
-                                             [&desk](int fronts) { desk.present(fronts); });
+                                             [&desk](int fronts) { desk.setProxyCount(fronts); });
     if (fittings.has_owners() && fittings.owners().on())
         hostOwners(*post, clock, station, fittings.owners(), desk);
     return post;
--- a/src/run/program.cpp
+++ b/src/run/program.cpp
@@ -1,7 +1,5 @@
 #include "program.hpp"
 
-#include "fleet.hpp"
-
 #include <spdlog/spdlog.h>
 
 #include <boost/asio/as_tuple.hpp>
@@ -9,6 +7,8 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
+#include "fleet.hpp"
+
 namespace granitereel {
 
 namespace {
@@ -18,9 +18,10 @@
 }  // namespace
 
 // The last to stand in a lane's cut-off: how long a client may wait at most.
-Nanos longestCutOff(const Charter& charter) {
-    Nanos longest = 0;
-    for (const Lane& lane : charter.lanes) longest = std::max(longest, lane.cutOff);
+Nanoseconds longestCutOff(const RoutingConfig& charter) {
+    Nanoseconds longest = 0;
+    for (const TransactionClass& transactionClass : charter.classes)
+        longest = std::max(longest, transactionClass.timeout);
     return longest;
 }
 
@@ -35,13 +36,13 @@
       locksmith_(fittings.has_tls_to_stores()
                      ? std::make_unique<tls::Locksmith>(io_.get_executor(), clock_, book_,
                                                         fittings.tls_to_stores(), station.cores,
-                                                        station.memory, station.opening.charter.coldTime)
+                                                        station.memory, station.opening.charter.warmUpTime)
                      : nullptr),
       post_(fleetOf(io_.get_executor(), clock_, station, fittings, desk_)),
       stores_(io_.get_executor(), clock_, desk_, book_, pool_, budget_, station.opening.connectWithin,
               station.opening.storesReport, locksmith_.get()),
       discovery_(io_.get_executor(), desk_, book_, station.opening.zones, station.discovery),
-      clients_(io_.get_executor(), clock_, desk_, stores_, budget_, station.opening.charter.lanes, places_),
+      clients_(io_.get_executor(), clock_, desk_, stores_, budget_, station.opening.charter.classes, places_),
       acceptor_(io_),
       endings_(io_, SIGTERM, SIGINT),
       hangUps_(io_, SIGHUP),
@@ -55,18 +56,18 @@
     static constexpr const char* names[] = {"starting", "serving", "leaving", "finishing", "over"};
     phase_ = phase;
     spdlog::info("{}: {}, {} in hand, {} clients", station_.name, names[static_cast<int>(phase)],
-                 desk_.inHand(), clients_.count());
+                 desk_.openTransactions(), clients_.count());
 }
 
 asio::awaitable<void> Program::errands() {
     for (;;) {
-        const std::vector<Errand> due = co_await desk_.tick();
-        for (const Errand& errand : due) {
+        const std::vector<RouterTask> due = co_await desk_.nextTasks();
+        for (const RouterTask& errand : due) {
             if (const auto* probe = std::get_if<ProbeStore>(&errand))
                 asio::co_spawn(io_, stores_.probe(probe->store), asio::detached);
-            else if (const auto* hangUp = std::get_if<HangUp>(&errand))
+            else if (const auto* hangUp = std::get_if<CloseIdleConnections>(&errand))
                 pool_.hangUp(hangUp->store);
-            else if (std::holds_alternative<FollowList>(errand))
+            else if (std::holds_alternative<SubscribeToList>(errand))
                 asio::co_spawn(io_, discovery_.follow(), asio::detached);
             else
                 asio::co_spawn(io_, discovery_.ask(), asio::detached);
@@ -87,7 +88,7 @@
                 asio::co_spawn(io_, stores_.renew(store), asio::detached);
         if (round % 10 > 0) continue;
         pool_.sweep(clock_.now());
-        std::erase_if(book_, [this](const auto& each) { return !desk_.knows(each.first); });
+        std::erase_if(book_, [this](const auto& each) { return !desk_.knowsStore(each.first); });
     }
 }
 
@@ -139,26 +140,29 @@
 
 asio::awaitable<void> Program::untilOver() {
     co_await endings_.async_wait(quietly);
-    const Nanos told = clock_.now();
+    const Nanoseconds told = clock_.now();
     // A front is not killed before its longest cut-off, of 3 s at most, and 0.7 s more are over; 0.3 s before
     // that everything in hand gets its answer. Until 0.7 s before then it serves on: the other fronts may be
     // restarting as well, and then those who hold connections here have nobody else.
-    const Nanos last = told + std::min(longestCutOff(station_.opening.charter), millis(3000)) + millis(400);
-    const Nanos closing = std::max(told + millis(700), last - millis(700));
+    const Nanoseconds last =
+        told + std::min(longestCutOff(station_.opening.charter), milliseconds(3000)) + milliseconds(400);
+    const Nanoseconds closing = std::max(told + milliseconds(700), last - milliseconds(700));
     enter(Phase::leaving);
     if (post_) post_->leave();
     asio::steady_timer pause(io_);
-    while (desk_.inHand() > 0 || clients_.count() > 0 || clock_.now() < closing) {
-        const Nanos now = clock_.now();
+    while (desk_.openTransactions() > 0 || clients_.count() > 0 || clock_.now() < closing) {
+        const Nanoseconds now = clock_.now();
         if (now >= closing && phase_ == Phase::leaving) {
             enter(Phase::finishing);
             acceptor_.close();
         }
         if (phase_ == Phase::finishing) clients_.closeQuiet();
         // What is still asked meanwhile is told at once, too: a launch would not come back in time.
-        if (now >= last) desk_.giveUpAll();
+        if (now >= last) desk_.finishAll();
         // Answers need 100 ms at the most to be written; who has not taken them by then will not.
-        if (now >= last + millis(100) && (desk_.inHand() == 0 || now >= last + millis(200))) break;
+        if (now >= last + milliseconds(100) &&
+            (desk_.openTransactions() == 0 || now >= last + milliseconds(200)))
+            break;
         pause.expires_after(std::chrono::milliseconds(10));
         co_await pause.async_wait(quietly);
     }
--- a/src/run/program.hpp
+++ b/src/run/program.hpp
@@ -12,7 +12,7 @@
 namespace granitereel {
 
 // How long a client may wait at most: the longest cut-off of any lane.
-Nanos longestCutOff(const Charter& charter);
+Nanoseconds longestCutOff(const RoutingConfig& charter);
 
 class Program {
 public:
@@ -47,9 +47,9 @@
     Clock clock_;
     Budget budget_;
     AddressBook book_;
-    Places places_;
+    DescriptorBudget places_;
     LinePool pool_;
-    Desk desk_;
+    AsyncRouter desk_;
     std::unique_ptr<tls::Locksmith> locksmith_;  // null where TLS is off
     std::unique_ptr<tier::Post> post_;           // null where the fronts don't know each other
     Stores stores_;
--- a/src/run/station.cpp
+++ b/src/run/station.cpp
@@ -53,7 +53,7 @@
         station.seed = seedOf(file);
         station.opening = readCharter(simdjson::dom::object(file["settings"]));
         // Where the simulator brings changes by themselves, a front on sockets still has to open the watch.
-        station.opening.charter.mustAsk = true;
+        station.opening.charter.listMustBeRequested = true;
         if (const auto known = present(file, "known")) station.known = simdjson::minify(*known);
         station.peerListen = chosen("", file, "peer_listen");
         if (const auto peers = present(file, "peers"))
--- a/src/tier/letter.cpp
+++ b/src/tier/letter.cpp
@@ -37,12 +37,13 @@
 // Whether a Letter says what can be; then it is taken over.
 bool take(const wire::Letter& letter, Said& said) {
     if (letter.birth() == 0 || letter.members() == 0 || letter.members() > mostMembers ||
-        letter.about() > mostMembers || letter.further().kind() > mostMembers || letter.age_ms() > static_cast<std::uint64_t>(INT64_MAX / millis(1)) ||
+        letter.about() > mostMembers || letter.further().kind() > mostMembers ||
+        letter.age_ms() > static_cast<std::uint64_t>(INT64_MAX / milliseconds(1)) ||
         letter.facts_size() % 3 != 0 || letter.block_digests().size() % 2 != 0)
         return false;
     said.birth = letter.birth();
     said.incarnation = letter.incarnation();
-    said.age = millis(static_cast<std::int64_t>(letter.age_ms()));
+    said.age = milliseconds(static_cast<std::int64_t>(letter.age_ms()));
     said.members = static_cast<int>(letter.members());
     said.nth = letter.nth();
     said.digest = letter.digest();
@@ -52,9 +53,9 @@
     said.silent = letter.silent();
     if (letter.has_twins()) {
         const auto& twins = letter.twins();
-        if (twins.younger_age_ms() > static_cast<std::uint64_t>(INT64_MAX / millis(1))) return false;
+        if (twins.younger_age_ms() > static_cast<std::uint64_t>(INT64_MAX / milliseconds(1))) return false;
         said.twins = Twins{twins.younger(), twins.elder(),
-                           millis(static_cast<std::int64_t>(twins.younger_age_ms()))};
+                           milliseconds(static_cast<std::int64_t>(twins.younger_age_ms()))};
     }
     for (int i = 0; i < letter.facts_size(); i += 3) {
         const std::uint32_t who = letter.facts(i), by = letter.facts(i + 2);
@@ -78,7 +79,8 @@
         }
         said.blocks.push_back(std::move(block));
     }
-    if (letter.has_further()) said.further = Further{static_cast<int>(letter.further().kind()), letter.further().body()};
+    if (letter.has_further())
+        said.further = Further{static_cast<int>(letter.further().kind()), letter.further().body()};
     return true;
 }
 
@@ -88,7 +90,7 @@
     wire::Letter letter;
     letter.set_birth(said.birth);
     letter.set_incarnation(said.incarnation);
-    letter.set_age_ms(static_cast<std::uint64_t>(said.age / millis(1)));
+    letter.set_age_ms(static_cast<std::uint64_t>(said.age / milliseconds(1)));
     letter.set_members(static_cast<std::uint32_t>(said.members));
     letter.set_nth(said.nth);
     letter.set_digest(said.digest);
@@ -100,10 +102,11 @@
         letter.mutable_twins()->set_younger(said.twins->younger);
         letter.mutable_twins()->set_elder(said.twins->elder);
         letter.mutable_twins()->set_younger_age_ms(
-            static_cast<std::uint64_t>(said.twins->youngerAge / millis(1)));
+            static_cast<std::uint64_t>(said.twins->youngerAge / milliseconds(1)));
     }
     for (const Fact& fact : said.facts) {
-        letter.add_facts(static_cast<std::uint32_t>(fact.member) * 4 + static_cast<std::uint32_t>(fact.state));
+        letter.add_facts(static_cast<std::uint32_t>(fact.member) * 4 +
+                         static_cast<std::uint32_t>(fact.state));
         letter.add_facts(fact.incarnation);
         letter.add_facts(static_cast<std::uint32_t>(fact.by + 1));
     }
--- a/src/tier/members.cpp
+++ b/src/tier/members.cpp
@@ -25,12 +25,13 @@
 }
 
 // Clocks of two machines drift by less than a hundredth against each other; twice that is allowed for.
-constexpr Nanos drift(Nanos over) {
+constexpr Nanoseconds drift(Nanoseconds over) {
     return over / 50;
 }
-// Ages are told apart this well: some times what datagrams are delayed. Of two processes that started so close
-// together the one is taken for the successor whose forerunner has not spoken since; else births decide.
-constexpr Nanos sameStart = millis(100);
+// Ages are told apart this well: some times what datagrams are delayed. Of two processes that started so
+// close together the one is taken for the successor whose forerunner has not spoken since; else births
+// decide.
+constexpr Nanoseconds sameStart = milliseconds(100);
 // Doubt counts up to this; waits are then five times as long (Lifeguard's multiplier goes to 8).
 constexpr int mostDoubt = 8;
 // Helpers asked for one member, as SWIM proposes.
@@ -64,8 +65,8 @@
     return bytes;
 }
 
-Members::Members(int me, int count, std::uint32_t birth, std::uint64_t seed, const Pace& pace, Nanos now,
-                 Outlet& outlet)
+Members::Members(int me, int count, std::uint32_t birth, std::uint64_t seed, const Pace& pace,
+                 Nanoseconds now, Outlet& outlet)
     : out_(outlet),
       pace_(pace),
       me_(me),
@@ -74,11 +75,12 @@
       chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483647)),
       now_(now) {
     chance_.discard(2);
-    lastProbe_ = chance_() % 4096;  // short on the wire; an answer to an elder process's probe meets nothing here
+    lastProbe_ =
+        chance_() % 4096;  // short on the wire; an answer to an elder process's probe meets nothing here
     // Not all of a tier that starts together shall speak at the same moment.
-    nextRound_ = now + static_cast<Nanos>(chance_() % 1000) * pace_.round / 4000;
+    nextRound_ = now + static_cast<Nanoseconds>(chance_() % 1000) * pace_.round / 4000;
     nextSpread_ = nextCalls_ = nextRound_;
-    lastAnswer_ = now - millis(60'000);
+    lastAnswer_ = now - milliseconds(60'000);
     sightSince_ = now;
     resize(now, count);
     Member& self = at(me_);
@@ -90,7 +92,7 @@
     if (count == 1) sight_ = Sight::whole;
 }
 
-void Members::resize(Nanos now, int count) {
+void Members::resize(Nanoseconds now, int count) {
     now_ = now;
     const int before = this->count();
     auto beyond = [&](int number) { return number >= count; };
@@ -161,8 +163,10 @@
 }
 
 void Members::rumour(int number) {
-    // A front that nobody answers keeps its opinions to itself: it is more likely cut off than all others are.
-    const bool cutOff = number != me_ && sight_ == Sight::alone && count() > 2 && now_ - started_ > 4 * pace_.round;
+    // A front that nobody answers keeps its opinions to itself: it is more likely cut off than all others
+    // are.
+    const bool cutOff =
+        number != me_ && sight_ == Sight::alone && count() > 2 && now_ - started_ > 4 * pace_.round;
     Member& m = at(number);
     if (cutOff || m.incarnation == 0) return;
     if (m.sends < 0) rumours_.push_back(number);
@@ -170,8 +174,8 @@
 }
 
 int Members::rumourLimit() const {
-    // Four times the decades of the tier's size: with a twentieth lost, one member in thousands misses a fact,
-    // and learns it by digests.
+    // Four times the decades of the tier's size: with a twentieth lost, one member in thousands misses a
+    // fact, and learns it by digests.
     const int limit = 4 * static_cast<int>(std::ceil(std::log10(double(count()) + 1)));
     // Where much has changed at once, blocks say it in a fifth of the bytes: rumours only start it off.
     const int many = static_cast<int>(rumours_.size());
@@ -259,7 +263,7 @@
         const double confirmed = std::log(double(m.accusers.size())) / std::log(double(others) + 1);
         span = std::max(least, most - (most - least) * confirmed);
     }
-    m.verdictAt = m.since + static_cast<Nanos>(span * (4 + doubt_) / 4);
+    m.verdictAt = m.since + static_cast<Nanoseconds>(span * (4 + doubt_) / 4);
 }
 
 void Members::condemn(int number, int by) {
@@ -275,7 +279,7 @@
 // later than others of it this datagram is.
 bool Members::knows(int from, const Said& said) {
     Member& m = at(from);
-    const Nanos born = now_ - said.age;
+    const Nanoseconds born = now_ - said.age;
     if (m.birth == 0) {
         m.birth = said.birth;
         m.born = born;
@@ -347,11 +351,11 @@
     if (came_ + lost_ > 128) came_ /= 2, lost_ /= 2;
 }
 
-double Members::lossSeen(Nanos) const {
+double Members::lossSeen(Nanoseconds) const {
     return lost_ / (lost_ + came_ + 1);
 }
 
-bool Members::heard(Nanos now, int from, const Said& said) {
+bool Members::heard(Nanoseconds now, int from, const Said& said) {
     if (from < 0 || from >= count() || from == me_) return false;
     if (now > next() + pace_.round / 2) tick(now);  // it was stalled, and has to know that first
     now_ = now;
@@ -459,7 +463,7 @@
     out_.send(to, said);
 }
 
-bool Members::tell(Nanos now, int to, Further further) {
+bool Members::tell(Nanoseconds now, int to, Further further) {
     if (silenced_ || to < 0 || to >= count() || to == me_ || further.bytes.size() > mostFurther) return false;
     now_ = now;
     Said said;
@@ -534,7 +538,8 @@
 }
 
 void Members::spread() {
-    // Two at a time, four times a round: a fact is everywhere within a few rounds; nothing while all is known.
+    // Two at a time, four times a round: a fact is everywhere within a few rounds; nothing while all is
+    // known.
     for (int i = 0; i < 2 && !rumours_.empty(); ++i) {
         const int to = pick([this](int number) { return present(number); });
         if (to < 0) return;
@@ -542,7 +547,7 @@
     }
 }
 
-void Members::leave(Nanos now) {
+void Members::leave(Nanoseconds now) {
     now_ = now;
     if (std::exchange(leaving_, true) || silenced_) return;
     Member& self = at(me_);
@@ -575,10 +580,10 @@
     return chosen;
 }
 
-void Members::probe(int number, Nanos within, std::function<void(bool)> next, bool twice) {
+void Members::probe(int number, Nanoseconds within, std::function<void(bool)> next, bool twice) {
     if (++lastProbe_ == 0) ++lastProbe_;
-    pending_.insert_or_assign(
-        lastProbe_, Pending{number, now_ + within, twice ? now_ + within / 2 : 0, std::move(next)});
+    pending_.insert_or_assign(lastProbe_,
+                              Pending{number, now_ + within, twice ? now_ + within / 2 : 0, std::move(next)});
     Said said;
     said.probe = lastProbe_;
     say(number, std::move(said));
@@ -589,8 +594,8 @@
     // Nothing heard at all since the last round: this front may be the one that is cut off.
     if (heardInRound_ == 0 && count() > 2 && sight_ != Sight::alone) doubt(1);
     heardInRound_ = 0;
-    const bool anyGone = std::any_of(members_.begin(), members_.end(),
-                                     [](const Member& m) { return m.state == State::gone; });
+    const bool anyGone =
+        std::any_of(members_.begin(), members_.end(), [](const Member& m) { return m.state == State::gone; });
     // Those gone are called now and then: one that is back may have nobody who knows it, and a cut may heal.
     if (anyGone && sight_ == Sight::alone)
         callTheGone(3);
@@ -606,7 +611,8 @@
         const int number = turn_.back();
         turn_.pop_back();
         if (!present(number)) continue;
-        // Sent again at half the wait: two datagrams, where a lost one would call for helpers and their dozen.
+        // Sent again at half the wait: two datagrams, where a lost one would call for helpers and their
+        // dozen.
         return probe(
             number, patience(),
             [this, number](bool answered) {
@@ -626,7 +632,7 @@
         bool answered = false, spoke = false;
     };
     auto round = std::make_shared<Round>();
-    const Nanos rest = (pace_.round - pace_.answer) * (2 + doubt_) / 2;
+    const Nanoseconds rest = (pace_.round - pace_.answer) * (2 + doubt_) / 2;
     std::vector<int> asked{number};  // once more itself, beside the helpers
     for (int i = 0; i < helpers; ++i) {
         const int helper = pick([&](int each) {
@@ -667,7 +673,8 @@
 void Members::callTheGone(int many) {
     // Those who left have said so, and are not called.
     for (int i = 0; i < many; ++i) {
-        const int number = pick([this](int each) { return each != me_ && member(each).state == State::gone; });
+        const int number =
+            pick([this](int each) { return each != me_ && member(each).state == State::gone; });
         if (number < 0) return;
         probe(number, patience(), [](bool) {});
     }
@@ -706,7 +713,7 @@
     doubt_ = std::min(mostDoubt, doubt_ + by);
 }
 
-Sight Members::sight(Nanos now) const {
+Sight Members::sight(Nanoseconds now) const {
     if (count() == 1) return Sight::whole;
     if (silenced_) return Sight::alone;
     // To hear is not enough: four rounds in which nobody answers, the first of which may be lost by chance.
@@ -721,18 +728,18 @@
 void Members::judgeSight() {
     const Sight seen = sight(now_);
     if (seen == sight_) return;
-    const char* why = silenced_                                                            ? "silenced"
+    const char* why = silenced_                                                      ? "silenced"
                       : seen == Sight::alone && now_ - lastAnswer_ > 4 * pace_.round ? "nobody answers"
-                                                                                           : "by who is here";
+                                                                                     : "by who is here";
     out_.log(std::string("sees ") + nameOf(seen) + " of the tier, was " + nameOf(sight_) + ": " + why + ", " +
              std::to_string(in(State::here).size()) + " of " + std::to_string(count()));
     sight_ = seen;
     sightSince_ = now_;
 }
 
-Nanos Members::next() const {
-    if (silenced_ || count() == 1) return now_ + millis(3'600'000);
-    Nanos when = std::min(nextRound_, now_ + pace_.round);
+Nanoseconds Members::next() const {
+    if (silenced_ || count() == 1) return now_ + milliseconds(3'600'000);
+    Nanoseconds when = std::min(nextRound_, now_ + pace_.round);
     if (!rumours_.empty()) when = std::min(when, nextSpread_);
     for (const auto& [number, pending] : pending_)
         when = std::min(when, pending.againAt ? pending.againAt : pending.until);
@@ -740,15 +747,15 @@
     return std::max(when, now_);
 }
 
-void Members::tick(Nanos now) {
+void Members::tick(Nanoseconds now) {
     if (silenced_ || count() == 1) return;
-    const Nanos late = now - next();
+    const Nanoseconds late = now - next();
     now_ = now;
     if (late > pace_.round / 2) {
         // It was stalled: what it waited for may have come and gone. It accuses nobody for that time, and
         // doubts itself for some rounds more.
-        doubt(1 + static_cast<int>(std::min<Nanos>(late / pace_.round, mostDoubt)));
-        out_.log("this front was stalled for " + std::to_string(late / millis(1)) + " ms");
+        doubt(1 + static_cast<int>(std::min<Nanoseconds>(late / pace_.round, mostDoubt)));
+        out_.log("this front was stalled for " + std::to_string(late / milliseconds(1)) + " ms");
         pending_.clear();
         for (const int number : suspects_) {
             at(number).verdictAt += late;
--- a/src/tier/parts.cpp
+++ b/src/tier/parts.cpp
@@ -5,13 +5,13 @@
 namespace granitereel::tier {
 
 namespace {
-// A larger part is taken by a tenth at a time: what was learnt of stores with the smaller one holds for about as
-// long as health is remembered, five seconds.
-constexpr Nanos between = millis(5'000);
+// A larger part is taken by a tenth at a time: what was learnt of stores with the smaller one holds for about
+// as long as health is remembered, five seconds.
+constexpr Nanoseconds between = milliseconds(5'000);
 constexpr int tenth = 10;
 }  // namespace
 
-void Parts::listed(Nanos now, const Members& members, int count) {
+void Parts::listed(Nanoseconds now, const Members& members, int count) {
     for (int i = count; i < members.count(); ++i) {
         // Only its own word ends a front's part. One that is gone may be cut off, and go on.
         if (members.member(i).state != State::leaving) unproven_ = true;
@@ -20,14 +20,14 @@
     counted_ = std::max(counted_, count);
 }
 
-bool Parts::mayTake(Nanos now, const Members& members) const {
+bool Parts::mayTake(Nanoseconds now, const Members& members) const {
     if (unproven_ || now < freeFrom_ || members.sight(now) != Sight::whole) return false;
     for (int i = 0; i < members.count(); ++i)
         if (i != members.me() && members.member(i).members != members.count()) return false;
     return true;
 }
 
-int Parts::count(Nanos now, const Members& members) {
+int Parts::count(Nanoseconds now, const Members& members) {
     counted_ = std::max(counted_, members.count());
     if (counted_ > members.count() && now >= nextStep_ && mayTake(now, members)) {
         counted_ = std::max(members.count(), counted_ - std::max(1, counted_ / tenth));
@@ -36,7 +36,7 @@
     return counted_;
 }
 
-std::string Parts::waitsFor(Nanos now, const Members& members) const {
+std::string Parts::waitsFor(Nanoseconds now, const Members& members) const {
     if (counted_ <= members.count()) return "";
     if (unproven_) return "a front that was taken off the list never said that it leaves";
     if (now < freeFrom_) return "a front that leaves may still work";
--- a/src/tier/post.cpp
+++ b/src/tier/post.cpp
@@ -25,7 +25,7 @@
 }
 
 // A birth is drawn by the seed, which is new with each start, and the time: either alone would do.
-std::uint32_t birthOf(std::uint64_t seed, Nanos now) {
+std::uint32_t birthOf(std::uint64_t seed, Nanoseconds now) {
     std::seed_seq sequence{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32),
                            static_cast<std::uint32_t>(now), static_cast<std::uint32_t>(now >> 32)};
     std::uint32_t drawn[1];
@@ -45,8 +45,8 @@
       present_(std::move(present)),
       counted_(place_.settled),
       parts_(place_.settled, place_.longestEnd),
-      members_(place_.me, static_cast<int>(place_.peers.size()), birthOf(place_.seed, clock.now()), place_.seed,
-               place_.pace, clock.now(), *this) {
+      members_(place_.me, static_cast<int>(place_.peers.size()), birthOf(place_.seed, clock.now()),
+               place_.seed, place_.pace, clock.now(), *this) {
     boost::system::error_code fault;
     socket_.open(udp::v4(), fault);
     if (!fault) socket_.bind(place_.listen, fault);
@@ -60,28 +60,29 @@
     spdlog::info("tier: {}", line);
 }
 
-void Post::received(int from, std::uint32_t birth, Nanos sent, const Further& further) {
+void Post::received(int from, std::uint32_t birth, Nanoseconds sent, const Further& further) {
     for (const auto& guest : guests_)
         if (guest->kind() == further.kind) guest->received(clock_.now(), from, birth, sent, further.bytes);
 }
 
-Nanos Post::next() const {
-    Nanos when = members_.next();
+Nanoseconds Post::next() const {
+    Nanoseconds when = members_.next();
     for (const auto& guest : guests_) when = std::min(when, guest->next());
     return when;
 }
 
-// The steady clock stands still while the machine sleeps, and the one since boot goes on (clock_gettime(2)). Leases
-// are counted on the former: what was held over a sleep can't be trusted.
+// The steady clock stands still while the machine sleeps, and the one since boot goes on (clock_gettime(2)).
+// Leases are counted on the former: what was held over a sleep can't be trusted.
 void Post::noticeSleep() {
     timespec boot{}, steady{};
     if (guests_.empty() || ::clock_gettime(CLOCK_BOOTTIME, &boot) != 0 ||
         ::clock_gettime(CLOCK_MONOTONIC, &steady) != 0)
         return;
-    const Nanos slept = (boot.tv_sec - steady.tv_sec) * Nanos(1'000'000'000) + (boot.tv_nsec - steady.tv_nsec);
+    const Nanoseconds slept =
+        (boot.tv_sec - steady.tv_sec) * Nanoseconds(1'000'000'000) + (boot.tv_nsec - steady.tv_nsec);
     // The two are read one after the other, some microseconds apart or as long as this thread was put aside.
-    if (sleptFor_ != 0 && slept > sleptFor_ + millis(100)) {
-        spdlog::warn("tier: the machine slept for {} ms", (slept - sleptFor_) / millis(1));
+    if (sleptFor_ != 0 && slept > sleptFor_ + milliseconds(100)) {
+        spdlog::warn("tier: the machine slept for {} ms", (slept - sleptFor_) / milliseconds(1));
         for (const auto& guest : guests_) guest->slept(clock_.now());
     }
     sleptFor_ = sleptFor_ == 0 ? slept : std::max(sleptFor_, slept);
@@ -137,7 +138,7 @@
 
 // What is decided elsewhere by the number of fronts follows the view.
 void Post::count() {
-    const Nanos now = clock_.now();
+    const Nanoseconds now = clock_.now();
     const int counted = parts_.count(now, members_);
     if (std::string waits = parts_.waitsFor(now, members_); waits != waits_) {
         waits_ = std::move(waits);
--- a/src/tier/post.hpp
+++ b/src/tier/post.hpp
@@ -1,5 +1,5 @@
-// The tier on the network: one UDP socket, who may speak on it, and the clockwork of `Members`. What is told of
-// the tier on SIGUSR1 and in the log is made here. docs/tier.md says what each line asks for.
+// The tier on the network: one UDP socket, who may speak on it, and the clockwork of `Members`. What is told
+// of the tier on SIGUSR1 and in the log is made here. docs/tier.md says what each line asks for.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,8 +14,8 @@
 #include "guest.hpp"
 #include "letter.hpp"
 #include "members.hpp"
-#include "parts.hpp"
 #include "memory/clock.hpp"
+#include "parts.hpp"
 
 namespace granitereel::tier {
 
@@ -31,8 +31,8 @@
     std::vector<udp::endpoint> peers;
     std::uint64_t seed = 1;
     Pace pace;
-    int settled = 1;       // fronts by the settings
-    Nanos longestEnd = 0;  // how long a front that was told to end may still work
+    int settled = 1;             // fronts by the settings
+    Nanoseconds longestEnd = 0;  // how long a front that was told to end may still work
 };
 
 class Post final : private Outlet {
@@ -63,8 +63,8 @@
 private:
     void send(int member, const Said& what) override;
     void log(const std::string& line) override;
-    void received(int from, std::uint32_t birth, Nanos sent, const Further& further) override;
-    Nanos next() const;
+    void received(int from, std::uint32_t birth, Nanoseconds sent, const Further& further) override;
+    Nanoseconds next() const;
     void noticeSleep();
     void sort(const udp::endpoint& from, std::string_view bytes);
     void count();
@@ -82,7 +82,7 @@
     std::string waits_;
     Parts parts_;
     std::vector<std::unique_ptr<Guest>> guests_;
-    Nanos sleptFor_ = 0;  // by the machine's clocks, since its start
+    Nanoseconds sleptFor_ = 0;  // by the machine's clocks, since its start
     Members members_;
 };
 
--- a/src/tls/locksmith.cpp
+++ b/src/tls/locksmith.cpp
@@ -17,14 +17,15 @@
 constexpr auto quietly = asio::as_tuple(asio::use_awaitable);
 
 // A store's failures are told of once in ten seconds: launches may meet it hundreds of times in between.
-constexpr Nanos complainEvery = millis(10'000);
+constexpr Nanoseconds complainEvery = milliseconds(10'000);
 // What runs out soon is told of at the start, with new files, and once a day.
-constexpr Nanos warnEvery = millis(24ll * 3600 * 1000);
+constexpr Nanoseconds warnEvery = milliseconds(24ll * 3600 * 1000);
 
 }  // namespace
 
 Locksmith::Locksmith(asio::any_io_executor on, const Clock& clock, const AddressBook& book,
-                     const fittings::TlsToStores& terms, double cores, std::size_t memory, Nanos coldTime)
+                     const fittings::TlsToStores& terms, double cores, std::size_t memory,
+                     Nanoseconds coldTime)
     : on_(on),
       clock_(clock),
       book_(book),
@@ -35,7 +36,7 @@
       // A sixty-fourth of the memory: half a megabyte of 32, some 250 sessions of 2 KiB.
       tickets_(terms.tickets_per_store(), memory / 64),
       pace_(pacing(), clock.now()),
-      renewal_(millis(1000) * terms.pace().renew_within_seconds()),
+      renewal_(milliseconds(1000) * terms.pace().renew_within_seconds()),
       alarm_(on) {
     warn();
 }
@@ -59,7 +60,7 @@
     const bool same = sameTerms && trust->digest() == trust_->digest();
     terms_ = terms;
     pace_.change(pacing());
-    renewal_.change(millis(1000) * terms.pace().renew_within_seconds());
+    renewal_.change(milliseconds(1000) * terms.pace().renew_within_seconds());
     if (same) {
         spdlog::info("TLS: nothing new in certificates and terms");
         return;
@@ -99,7 +100,7 @@
 
 void Locksmith::complain(const std::string& store, const std::string& why, const std::string& certificate) {
     auto& [last, since] = complained_[store];
-    const Nanos now = clock_.now();
+    const Nanoseconds now = clock_.now();
     if (last > 0 && now - last < complainEvery) {
         ++since;
         return;
@@ -128,7 +129,7 @@
 }
 
 asio::awaitable<Locksmith::Turned> Locksmith::turn(std::shared_ptr<Line> line, For what) {
-    const Nanos now = clock_.now();
+    const Nanoseconds now = clock_.now();
     if (pace_.spares(line->store, now)) co_return Turned::spared;
     const auto found = book_.find(line->store);
     line->turn = pace_.asks(line->store, what, found == book_.end() ? 0 : found->second.started, now);
@@ -173,7 +174,7 @@
     co_return false;
 }
 
-asio::awaitable<Nanos> Locksmith::seal(std::shared_ptr<Line> line) {
+asio::awaitable<Nanoseconds> Locksmith::seal(std::shared_ptr<Line> line) {
     const unsigned epoch = epoch_;
     const std::string store = line->store, name = nameOf(store);
     Sealed::Shaken shaken;
@@ -183,7 +184,7 @@
         shaken.fault = "no end in time";
     } else if (asked) {
         shaken = {};
-        const Nanos now = clock_.now();
+        const Nanoseconds now = clock_.now();
         const auto session = tickets_.take(store, name, epoch, now);
         const auto keeps = [this, store, name, epoch](SSL_SESSION* offered) {
             Tickets::Handle handle(offered,
@@ -192,7 +193,8 @@
             // Its length as written out: what the library keeps is that and its certificates, about as much
             // again.
             const auto bytes = static_cast<std::size_t>(std::max(0, i2d_SSL_SESSION(offered, nullptr))) * 2;
-            const Nanos life = millis(1000) * static_cast<Nanos>(SSL_SESSION_get_timeout(offered));
+            const Nanoseconds life =
+                milliseconds(1000) * static_cast<Nanoseconds>(SSL_SESSION_get_timeout(offered));
             tickets_.keep(store, name, epoch, std::move(handle), bytes, clock_.now() + life);
         };
         try {
@@ -204,7 +206,7 @@
             shaken.untrusted = true;
         }
     }
-    const Nanos cost = line->seal ? line->seal->cost() : 0;
+    const Nanoseconds cost = line->seal ? line->seal->cost() : 0;
     const bool sound = shaken.fault.empty() && !line->ended();
     pace_.ended(std::exchange(line->turn, 0),
                 sound              ? (shaken.resumed ? Pace::End::resumed : Pace::End::full)
@@ -225,14 +227,14 @@
 }
 
 std::vector<std::string> Locksmith::renewals(LinePool& pool) {
-    const Nanos now = clock_.now();
+    const Nanoseconds now = clock_.now();
     if (now - warnedAt_ > warnEvery) warn();
     std::vector<std::string> due;
     if (!renewal_.on()) return due;
     const auto isOld = [this](const Line& line) { return line.epoch != epoch_; };
     if (renewal_.overdue(now)) pool.closeAll(isOld);
     std::size_t count = 0;
-    const std::map<std::string, Nanos> old = pool.lastUsed(isOld, count);
+    const std::map<std::string, Nanoseconds> old = pool.lastUsed(isOld, count);
     while (const auto store = renewal_.next(old, count, now)) {
         // The new one takes the place of an old one, so that no more are open than before.
         pool.closeOne(*store, isOld);
--- a/src/tls/locksmith.hpp
+++ b/src/tls/locksmith.hpp
@@ -18,7 +18,7 @@
 public:
     // `cores`: of the processor that the front may use; `memory`: bytes of it in all. Throws Untrusted.
     Locksmith(asio::any_io_executor on, const Clock& clock, const AddressBook& book,
-              const fittings::TlsToStores& terms, double cores, std::size_t memory, Nanos coldTime);
+              const fittings::TlsToStores& terms, double cores, std::size_t memory, Nanoseconds coldTime);
 
     // Waits until a handshake with the line's store may begin. None: it may not before the line is closed.
     // Spared: the store could not be trusted lately.
@@ -26,7 +26,7 @@
     asio::awaitable<Turned> turn(std::shared_ptr<Line> line, For what);
     // On a line that is connected and has its turn. Where that fails, it is not sealed and the log says why.
     // Returns what the handshake took of the processor.
-    asio::awaitable<Nanos> seal(std::shared_ptr<Line> line);
+    asio::awaitable<Nanoseconds> seal(std::shared_ptr<Line> line);
     // The turn is over without a handshake.
     void passes(Line& line);
 
@@ -38,7 +38,7 @@
     bool mayRest(const Line& line) const { return current(line) || renewal_.on(); }
     // Once in a while: the stores to which an idle line of the old kind is to be renewed now, out of `pool`.
     std::vector<std::string> renewals(LinePool& pool);
-    void renewed(const std::string& store, Nanos took) { renewal_.ended(store, took); }
+    void renewed(const std::string& store, Nanoseconds took) { renewal_.ended(store, took); }
 
     struct Counts {
         std::uint64_t full = 0, resumed = 0, failed = 0, deferred = 0;
@@ -58,7 +58,7 @@
     const AddressBook& book_;
     fittings::TlsToStores terms_;
     double cores_;
-    Nanos coldTime_;
+    Nanoseconds coldTime_;
     std::shared_ptr<const Trust> trust_;
     unsigned epoch_ = 1;
     Tickets tickets_;
@@ -71,9 +71,9 @@
     std::map<Pace::Turn, Waiter> waiters_;
     asio::steady_timer alarm_;
     Counts counts_;
-    std::map<std::string, std::pair<Nanos, std::uint64_t>>
+    std::map<std::string, std::pair<Nanoseconds, std::uint64_t>>
         complained_;  // by store: when last, how many since
-    Nanos warnedAt_ = 0;
+    Nanoseconds warnedAt_ = 0;
 };
 
 }  // namespace granitereel::tls
--- a/src/tls/pace.cpp
+++ b/src/tls/pace.cpp
@@ -8,33 +8,33 @@
 namespace {
 
 // A purse holds what comes in within a tenth of a second: few statements notice a pause of a share of that.
-constexpr Nanos purseTime = millis(100);
+constexpr Nanoseconds purseTime = milliseconds(100);
 // The first handshake is taken to cost a millisecond, as a full one with P-256 does on an old core.
 constexpr double firstCost = 1e6;
 // A store that can't be trusted is asked again after a second, each further time after twice as long, up to a
 // minute: somebody has to mend it, and each attempt costs both sides a full handshake.
-constexpr Nanos firstSpare = millis(1000), longestSpare = millis(60'000);
+constexpr Nanoseconds firstSpare = milliseconds(1000), longestSpare = milliseconds(60'000);
 // Renewals leave half of the purse to those that wait for an answer.
 constexpr double keptFromRenewals = 0.5;
 
 }  // namespace
 
-Pace::Pace(const Terms& terms, Nanos now) : terms_(terms), filledAt_(now), usual_(firstCost) {
+Pace::Pace(const Terms& terms, Nanoseconds now) : terms_(terms), filledAt_(now), usual_(firstCost) {
     purse_ = terms.share * double(purseTime);
 }
 
-void Pace::refill(Nanos now) {
-    purse_ = std::min(purse_ + terms_.share * double(std::max<Nanos>(0, now - filledAt_)),
+void Pace::refill(Nanoseconds now) {
+    purse_ = std::min(purse_ + terms_.share * double(std::max<Nanoseconds>(0, now - filledAt_)),
                       terms_.share * double(purseTime));
     filledAt_ = std::max(filledAt_, now);
 }
 
-bool Pace::spares(const std::string& store, Nanos now) const {
+bool Pace::spares(const std::string& store, Nanoseconds now) const {
     const auto found = stores_.find(store);
     return found != stores_.end() && now < found->second.sparedUntil;
 }
 
-Pace::Turn Pace::asks(const std::string& store, For what, Nanos started, Nanos now) {
+Pace::Turn Pace::asks(const std::string& store, For what, Nanoseconds started, Nanoseconds now) {
     refill(now);
     const Turn turn = ++last_;
     askers_[turn] = {store, what, started, 0, false};
@@ -45,7 +45,7 @@
 
 // The first in order whose store may take one more. It guards against reconnect storms. It may hurt where
 // handshakes are all the front has to do: the processor then idles for the rest of the time.
-std::optional<Pace::Turn> Pace::next(Nanos now) {
+std::optional<Pace::Turn> Pace::next(Nanoseconds now) {
     refill(now);
     lookAt_.reset();
     if (queue_.empty() || underWay_ >= terms_.atOnce) return {};
@@ -53,7 +53,7 @@
         const double needed = what == For::renewal ? keptFromRenewals * terms_.share * double(purseTime) : 0;
         if (purse_ < needed) {
             // Those behind it need as much or more.
-            lookAt_ = now + static_cast<Nanos>(std::ceil((needed - purse_) / terms_.share)) + 1;
+            lookAt_ = now + static_cast<Nanoseconds>(std::ceil((needed - purse_) / terms_.share)) + 1;
             return {};
         }
         Asker& asker = askers_.at(turn);
@@ -61,7 +61,7 @@
         const bool cold = asker.started > 0 && now - asker.started < terms_.coldTime;
         if (store.underWay >= (cold ? 1 : terms_.perStore)) continue;
         asker.begun = true;
-        asker.expected = static_cast<Nanos>(usual_);
+        asker.expected = static_cast<Nanoseconds>(usual_);
         purse_ -= double(asker.expected);
         ++underWay_;
         ++store.underWay;
@@ -89,7 +89,7 @@
     forget(asker.store, filledAt_);
 }
 
-void Pace::ended(Turn turn, End how, Nanos cost, Nanos now) {
+void Pace::ended(Turn turn, End how, Nanoseconds cost, Nanoseconds now) {
     refill(now);
     const auto found = askers_.find(turn);
     if (found == askers_.end()) return;
@@ -99,7 +99,7 @@
     usual_ += 0.1 * (double(cost) - usual_);
     Store& store = stores_.at(found->second.store);
     if (how == End::untrusted) {
-        const Nanos pause = firstSpare << std::min(store.untrusted++, 6);
+        const Nanoseconds pause = firstSpare << std::min(store.untrusted++, 6);
         store.sparedUntil = now + std::min(pause, longestSpare);
     } else if (how != End::broken) {
         store.untrusted = 0;
@@ -109,7 +109,7 @@
 }
 
 // A store is kept in mind only while something of it matters, as fleets are replaced in time.
-void Pace::forget(const std::string& id, Nanos now) {
+void Pace::forget(const std::string& id, Nanoseconds now) {
     const auto found = stores_.find(id);
     const Store& store = found->second;
     if (store.underWay == 0 && store.waiting == 0 && store.untrusted == 0) stores_.erase(found);
@@ -121,8 +121,8 @@
         });
 }
 
-std::optional<std::string> Renewal::next(const std::map<std::string, Nanos>& old, std::size_t connections,
-                                         Nanos now) {
+std::optional<std::string> Renewal::next(const std::map<std::string, Nanoseconds>& old,
+                                         std::size_t connections, Nanoseconds now) {
     if (!on_) return {};
     if (old.empty()) {
         if (underWay_.empty()) on_ = false;
@@ -134,7 +134,7 @@
     if (double(underWay_.size()) >= std::max(2.0, std::min(needed, 64.0))) return {};
     // The store used last first: its next statement comes soonest. One at a time to each.
     const std::string* best = nullptr;
-    Nanos used = 0;
+    Nanoseconds used = 0;
     for (const auto& [store, at] : old)
         if (!underWay_.count(store) && (!best || at > used)) best = &store, used = at;
     if (!best) return {};
@@ -142,7 +142,7 @@
     return *best;
 }
 
-void Renewal::ended(const std::string& store, Nanos took) {
+void Renewal::ended(const std::string& store, Nanoseconds took) {
     underWay_.erase(store);
     usual_ += 0.1 * (double(took) - usual_);
 }
--- a/src/tls/tickets.cpp
+++ b/src/tls/tickets.cpp
@@ -13,7 +13,7 @@
 }
 
 void Tickets::keep(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
-                   std::size_t bytes, Nanos goodUntil) {
+                   std::size_t bytes, Nanoseconds goodUntil) {
     // What its keeping takes besides counts as well: two nodes and the texts.
     bytes += 256 + store.size() + name.size();
     if (perStore_ == 0 || bytes > most_) return;
@@ -29,7 +29,8 @@
     bytes_ += bytes;
 }
 
-Tickets::Handle Tickets::take(const std::string& store, const std::string& name, unsigned epoch, Nanos now) {
+Tickets::Handle Tickets::take(const std::string& store, const std::string& name, unsigned epoch,
+                              Nanoseconds now) {
     for (auto found = byStore_.find(store); found != byStore_.end(); found = byStore_.find(store)) {
         const auto newest = found->second.back();
         const bool good = newest->name == name && newest->epoch == epoch && now < newest->goodUntil;
--- a/src/tls/tickets.hpp
+++ b/src/tls/tickets.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::tls {
 
@@ -20,9 +20,9 @@
 
     // `epoch`: of the trust that the session was made under.
     void keep(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
-              std::size_t bytes, Nanos goodUntil);
+              std::size_t bytes, Nanoseconds goodUntil);
     // The newest that is still good; null if there is none.
-    Handle take(const std::string& store, const std::string& name, unsigned epoch, Nanos now);
+    Handle take(const std::string& store, const std::string& name, unsigned epoch, Nanoseconds now);
     // New trust or a new identity: nothing made under the old is used any more.
     void dropAll();
     std::size_t bytes() const { return bytes_; }
@@ -34,7 +34,7 @@
         unsigned epoch = 0;
         Handle handle;
         std::size_t bytes = 0;
-        Nanos goodUntil = 0;
+        Nanoseconds goodUntil = 0;
     };
     using Age = std::list<Ticket>;
     void drop(const std::string& store, Age::iterator which);
--- a/src/transport/steady.hpp
+++ b/src/transport/steady.hpp
@@ -4,16 +4,16 @@
 
 #include <chrono>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::transport {
 
-inline Nanos steadyNow() {
+inline Nanoseconds steadyNow() {
     // Begins well above nought, which stands for never.
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
                .count() +
-           millis(1'000'000);
+           milliseconds(1'000'000);
 }
 
 }  // namespace granitereel::transport
--- a/src/transport/traffic.cpp
+++ b/src/transport/traffic.cpp
@@ -6,7 +6,7 @@
 namespace granitereel::transport {
 
 namespace {
-constexpr Nanos lineEvery = millis(60'000);
+constexpr Nanoseconds lineEvery = milliseconds(60'000);
 }  // namespace
 
 void Traffic::sent(const std::string& kind, std::size_t bytes) {
@@ -15,7 +15,7 @@
     count.bytes += bytes;
 }
 
-bool Traffic::due(Nanos now) {
+bool Traffic::due(Nanoseconds now) {
     if (writtenAt_ == 0) writtenAt_ = now;
     if (now - writtenAt_ < lineEvery) return false;
     writtenAt_ = now;
--- a/src/transport/traffic.hpp
+++ b/src/transport/traffic.hpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <string>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::transport {
 
@@ -17,7 +17,7 @@
 public:
     void sent(const std::string& kind, std::size_t bytes);
     // Whether a line is due at `now`, which then counts as written.
-    bool due(Nanos now);
+    bool due(Nanoseconds now);
     // "kind=messages/bytes ...", all since the start; the kind with the most bytes first.
     std::string line() const;
 
@@ -26,7 +26,7 @@
         std::uint64_t messages = 0, bytes = 0;
     };
     std::map<std::string, Count> counts_;
-    Nanos writtenAt_ = 0;
+    Nanoseconds writtenAt_ = 0;
 };
 
 }  // namespace granitereel::transport
--- a/src/wire/clients.cpp
+++ b/src/wire/clients.cpp
@@ -41,14 +41,15 @@
     return answer;
 }
 
-std::string nackAnswer(std::string_view words, Nanos comeBackAfter = 0) {
-    return errorAnswer("53300", words, comeBackAfter > 0 ? std::to_string(comeBackAfter / millis(1)) : "");
+std::string nackAnswer(std::string_view words, Nanoseconds comeBackAfter = 0) {
+    return errorAnswer("53300", words,
+                       comeBackAfter > 0 ? std::to_string(comeBackAfter / milliseconds(1)) : "");
 }
 
 }  // namespace
 
-Clients::Clients(asio::any_io_executor on, const Clock& clock, Desk& desk, Stores& stores, Budget& budget,
-                 const std::vector<Lane>& lanes, Places& places)
+Clients::Clients(asio::any_io_executor on, const Clock& clock, AsyncRouter& desk, Stores& stores,
+                 Budget& budget, const std::vector<TransactionClass>& classes, DescriptorBudget& places)
     : on_(on),
       clock_(clock),
       desk_(desk),
@@ -56,10 +57,11 @@
       budget_(budget),
       places_(places),
       table_(places, clock) {
-    for (std::size_t i = 0; i < lanes.size(); ++i) {
-        lanes_[lanes[i].name] = static_cast<int>(i);
-        sessions_.push_back(lanes[i].need == Need::session || lanes[i].need == Need::write);
-        writes_.push_back(lanes[i].need == Need::write);
+    for (std::size_t i = 0; i < classes.size(); ++i) {
+        classes_[classes[i].name] = static_cast<int>(i);
+        sessions_.push_back(classes[i].consistency == Consistency::session ||
+                            classes[i].consistency == Consistency::write);
+        writes_.push_back(classes[i].consistency == Consistency::write);
     }
 }
 
@@ -214,7 +216,7 @@
     if (client->deaf) co_await passOver(client);
     // The client is gone, or has said good-bye.
     client->gone = true;
-    if (client->inHand) desk_.lapse(*client->inHand);
+    if (client->inHand) desk_.abandon(*client->inHand);
     client->bell.cancel();
 }
 
@@ -242,9 +244,9 @@
     co_return !fault;
 }
 
-// The connection's end goes out with the answer, in one segment: a client that saw the answer alone would ask again
-// at once, and so on until the front is gone with one of its statements in hand. True where it has asked meanwhile,
-// without having seen the answer: that is still answered.
+// The connection's end goes out with the answer, in one segment: a client that saw the answer alone would ask
+// again at once, and so on until the front is gone with one of its statements in hand. True where it has
+// asked meanwhile, without having seen the answer: that is still answered.
 asio::awaitable<bool> Clients::writeLast(std::shared_ptr<Client> client, std::string answer) {
     client->holdBack(true);
     const bool written = co_await write(client, std::move(answer));
@@ -282,7 +284,7 @@
             co_await write(client, std::move(farewell));
             client->told = true;
             // Where others wait for the descriptor, it is not kept for one that may take its time to close.
-            if (client->floods || places_.crowded()) break;
+            if (client->floods || places_.overAdmissionLimit()) break;
             boost::system::error_code ignored;
             client->socket.shutdown(tcp::socket::shutdown_send, ignored);
             // Time for the client to read it and to close.
@@ -306,7 +308,7 @@
 
 // What the comment of a statement says, as far as it is of use here.
 struct Clients::Known {
-    std::string_view id, lane, patience;
+    std::string_view id, transactionClass, patience;
     std::optional<std::int64_t> d, group, after;
 };
 
@@ -324,27 +326,27 @@
         statement,
         [&](std::string_view name, std::string_view value) {
             if (name == "id") known.id = value;
-            if (name == "c") known.lane = value;
+            if (name == "c") known.transactionClass = value;
             if (name == "d") known.patience = value, known.d = wholeNumber(value);
             if (name == "cluster") known.group = wholeNumber(value);
             if (name == "after") known.after = wholeNumber(value), odd = odd || !known.after;
         },
         whole);
     // An hour is more than any client waits; a position fits a time in nanoseconds.
-    const bool sound = whole && !odd && !known.lane.empty() && !known.id.empty() && known.id.size() <= 128 &&
-                       known.d && *known.d > 0 && *known.d <= 3'600'000 && known.group && *known.group >= 0 &&
-                       *known.group <= 1'000'000'000 &&
+    const bool sound = whole && !odd && !known.transactionClass.empty() && !known.id.empty() &&
+                       known.id.size() <= 128 && known.d && *known.d > 0 && *known.d <= 3'600'000 &&
+                       known.group && *known.group >= 0 && *known.group <= 1'000'000'000 &&
                        (!known.after || (*known.after >= 0 && *known.after < 9'000'000'000'000));
     if (!sound) co_return errorAnswer("08P01", "not a statement of the form that is served here");
-    const auto lane = lanes_.find(known.lane);
-    if (lane == lanes_.end()) co_return errorAnswer("22023", "unknown class");
-    const auto key = keyOf(sql, writes_[lane->second]);
+    const auto transactionClass = classes_.find(known.transactionClass);
+    if (transactionClass == classes_.end()) co_return errorAnswer("22023", "unknown class");
+    const auto key = keyOf(sql, writes_[transactionClass->second]);
     if (!key) co_return errorAnswer("08P01", "not a statement of the form that its class takes");
-    std::optional<Nanos> mustSee;
-    if (known.after && *known.after > 0) mustSee = millis(*known.after);
-    const std::string user = sessions_[lane->second] ? std::string(*key) : std::string();
-    auto ticket = desk_.take(std::string(known.id), lane->second, user, millis(*known.d),
-                             static_cast<int>(*known.group), mustSee);
+    std::optional<Nanoseconds> mustSee;
+    if (known.after && *known.after > 0) mustSee = milliseconds(*known.after);
+    const std::string user = sessions_[transactionClass->second] ? std::string(*key) : std::string();
+    auto ticket = desk_.submit(std::string(known.id), transactionClass->second, user, milliseconds(*known.d),
+                               static_cast<int>(*known.group), mustSee);
     if (!ticket) co_return errorAnswer("22023", "unknown group, or an id that is in hand");
     client->inHand = ticket;
     client->prove();
@@ -354,12 +356,12 @@
                             std::string_view(statement).substr(from + known.patience.size())};
     std::string reply;
     for (;;) {
-        const Step step = co_await desk_.pick(*ticket);
-        if (const auto* launched = std::get_if<Launched>(&step)) {
-            co_await stores_.launch(launched->store, launched->until, outgoing, ticket, reply);
-        } else if (const auto* nacked = std::get_if<Nacked>(&step)) {
-            co_return nackAnswer("come again", nacked->comeBackAfter);
-        } else if (std::holds_alternative<WrittenOff>(step)) {
+        const RoutingStep step = co_await desk_.nextStep(*ticket);
+        if (const auto* launched = std::get_if<AttemptStarted>(&step)) {
+            co_await stores_.startAttempt(launched->store, launched->until, outgoing, ticket, reply);
+        } else if (const auto* nacked = std::get_if<Rejected>(&step)) {
+            co_return nackAnswer("come again", nacked->retryAfter);
+        } else if (std::holds_alternative<Indeterminate>(step)) {
             co_return errorAnswer("40003", "no answer; it may have run");
         } else {
             postgres::putReady(reply);
--- a/src/wire/clients.hpp
+++ b/src/wire/clients.hpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "facade/desk.hpp"
+#include "facade/async_router.hpp"
 #include "memory/clients.hpp"
 #include "wire/stores.hpp"
 
@@ -11,12 +11,13 @@
 
 class Clients {
 public:
-    Clients(asio::any_io_executor on, const Clock& clock, Desk& desk, Stores& stores, Budget& budget,
-            const std::vector<Lane>& lanes, Places& places);
+    Clients(asio::any_io_executor on, const Clock& clock, AsyncRouter& desk, Stores& stores, Budget& budget,
+            const std::vector<TransactionClass>& classes, DescriptorBudget& places);
 
     // Takes connections until the acceptor is closed.
     asio::awaitable<void> listen(tcp::acceptor& acceptor);
-    // Closes the connections on which nothing is asked; from now on the others, too, each with its next answer.
+    // Closes the connections on which nothing is asked; from now on the others, too, each with its next
+    // answer.
     void closeQuiet();
     // Closes those that have kept the front waiting for too long, and those whose places others need.
     void tidy() {
@@ -40,12 +41,12 @@
 
     asio::any_io_executor on_;
     const Clock& clock_;
-    Desk& desk_;
+    AsyncRouter& desk_;
     Stores& stores_;
     Budget& budget_;
-    std::map<std::string, int, std::less<>> lanes_;
-    std::vector<bool> sessions_, writes_;  // by lane: whether the key names a session, whether it writes
-    Places& places_;
+    std::map<std::string, int, std::less<>> classes_;
+    std::vector<bool> sessions_, writes_;  // by class: whether the key names a session, whether it writes
+    DescriptorBudget& places_;
     ClientTable table_;
     bool closing_ = false;
 };
--- a/src/wire/discovery.cpp
+++ b/src/wire/discovery.cpp
@@ -63,10 +63,10 @@
             if (!group || !group->is_int64()) throw std::invalid_argument("no group");
             const std::int64_t number(*group);
             if (number < 0 || number > 1'000'000'000) throw std::invalid_argument("a group out of range");
-            const Standing standing = status == "Ready"         ? Standing::up
-                                      : status == "Terminating" ? Standing::draining
-                                      : status == "Gone"        ? Standing::removed
-                                                                : throw std::invalid_argument("no status");
+            const StoreState standing = status == "Ready"         ? StoreState::up
+                                        : status == "Terminating" ? StoreState::draining
+                                        : status == "Gone"        ? StoreState::removed
+                                                                  : throw std::invalid_argument("no status");
             const auto place = std::find(zones_.begin(), zones_.end(), zone);
             const double started = since && since->is_number() ? double(*since) : 0;
             if (!(started >= 0 && started < 9e12)) throw std::invalid_argument("a start out of range");
--- a/src/wire/discovery.hpp
+++ b/src/wire/discovery.hpp
@@ -5,15 +5,15 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "facade/desk.hpp"
+#include "facade/async_router.hpp"
 #include "memory/stores.hpp"
 
 namespace granitereel {
 
 class Discovery {
 public:
-    Discovery(asio::any_io_executor on, Desk& desk, AddressBook& book, const std::vector<std::string>& zones,
-              tcp::endpoint at)
+    Discovery(asio::any_io_executor on, AsyncRouter& desk, AddressBook& book,
+              const std::vector<std::string>& zones, tcp::endpoint at)
         : on_(on), desk_(desk), book_(book), zones_(zones), at_(at) {}
 
     // One list as discovery writes it. Throws where it is none; passes over entries that lack something.
@@ -29,7 +29,7 @@
     asio::awaitable<void> call(std::shared_ptr<Call> held, std::string target, bool watch);
 
     asio::any_io_executor on_;
-    Desk& desk_;
+    AsyncRouter& desk_;
     AddressBook& book_;
     const std::vector<std::string>& zones_;
     tcp::endpoint at_;
--- a/src/wire/stores.cpp
+++ b/src/wire/stores.cpp
@@ -24,16 +24,16 @@
 
 // A position tells what is applied: nothing before 1970, and nothing that lies ahead by more than rounding
 // and a report's way may explain.
-std::optional<Nanos> believable(double nanos, Nanos now) {
+std::optional<Nanoseconds> believable(double nanos, Nanoseconds now) {
     if (!std::isfinite(nanos) || nanos < 0 || nanos > double(now) + 1e9) return {};
-    return static_cast<Nanos>(nanos);
+    return static_cast<Nanoseconds>(nanos);
 }
 
 }  // namespace
 
 // One figure that can't be read spoils the rest.
-Report readReport(std::string_view text, Nanos now) {
-    Report report;
+StoreReport readReport(std::string_view text, Nanoseconds now) {
+    StoreReport report;
     while (!text.empty()) {
         const std::size_t comma = text.find(',');
         const std::string_view entry = text.substr(0, comma);
@@ -63,11 +63,11 @@
     bool deferred = false;  // no turn for a handshake in time: that says nothing of the store
     std::string answer, value, code;
     Role role = Role::unknown;
-    std::optional<Nanos> position;
-    std::optional<Report> report;
+    std::optional<Nanoseconds> position;
+    std::optional<StoreReport> report;
 
     // Takes in one message; throws Garbled where it has no place.
-    void take(std::string_view message, Nanos now) {
+    void take(std::string_view message, Nanoseconds now) {
         using namespace postgres;
         std::string_view body = bodyOf(message);
         const auto expect = [](bool so) {
@@ -125,7 +125,7 @@
 // Reads until the store is ready for the next statement, or the connection ends. What has begun is of no use
 // if nothing of the rest comes for as long as a whole connecting may take, and the store then counts as one
 // that has said all that it will.
-asio::awaitable<void> Stores::hear(std::shared_ptr<Line> line, Nanos until, Heard& heard) {
+asio::awaitable<void> Stores::hear(std::shared_ptr<Line> line, Nanoseconds until, Heard& heard) {
     using namespace postgres;
     std::size_t total = 0;
     for (;;) {
@@ -158,7 +158,8 @@
     }
 }
 
-asio::awaitable<bool> Stores::connect(std::shared_ptr<Line> line, Nanos until, tls::For what, Heard& heard) {
+asio::awaitable<bool> Stores::connect(std::shared_ptr<Line> line, Nanoseconds until, tls::For what,
+                                      Heard& heard) {
     if (locksmith_) {
         // Waited for as long as connecting may take, which begins only then.
         line->closeAt(clock_.at(std::min(until, clock_.now() + connectWithin_)));
@@ -178,9 +179,9 @@
     boost::system::error_code ignored;
     if (up) line->socket.set_option(tcp::no_delay(true), ignored);
     if (locksmith_) {
-        const Nanos work = up ? co_await locksmith_->seal(line) : 0;
+        const Nanoseconds work = up ? co_await locksmith_->seal(line) : 0;
         if (!up) locksmith_->passes(*line);
-        if (work > 0) desk_.shookHands(line->store, work);
+        if (work > 0) desk_.handshakeDone(line->store, work);
         up = up && line->seal;
     }
     if (!up) co_return false;
@@ -193,15 +194,15 @@
 }
 
 // A connection that is ready for a statement; null if there is none in time.
-asio::awaitable<std::shared_ptr<Line>> Stores::reach(std::string store, Nanos until, Ticket* ticket,
-                                                     Heard& heard) {
+asio::awaitable<std::shared_ptr<Line>> Stores::reach(std::string store, Nanoseconds until,
+                                                     TransactionHandle* ticket, Heard& heard) {
     std::shared_ptr<Line> line = pool_.take(store, clock_.now());
     const bool fresh = !line;
     if (fresh) line = pool_.make(store, budget_);
     if (!line) co_return nullptr;
     line->calledBack = line->overdue = false;
     if (ticket)
-        ticket->onCallBack([at = std::weak_ptr<Line>(line)] {
+        ticket->onCancel([at = std::weak_ptr<Line>(line)] {
             if (auto held = at.lock()) held->abandon();
         });
     if (fresh && !line->calledBack) {
@@ -219,27 +220,27 @@
     pool_.put(std::move(line), clock_.now());
 }
 
-asio::awaitable<void> Stores::launch(std::string store, Nanos until, Outgoing statement,
-                                     std::shared_ptr<Ticket> ticket, std::string& answer) {
-    Result result;
+asio::awaitable<void> Stores::startAttempt(std::string store, Nanoseconds until, Outgoing statement,
+                                           std::shared_ptr<TransactionHandle> ticket, std::string& answer) {
+    AttemptResult result;
     Heard heard;
     std::shared_ptr<Line> line = co_await reach(store, until, ticket.get(), heard);
     if (!line) {
         // Nothing was written, so it never ran.
-        result.how = heard.code == "53300"                     ? Ending::full
-                     : heard.deferred || clock_.now() >= until ? Ending::unsent
-                                                               : Ending::unreachable;
+        result.outcome = heard.code == "53300"                     ? AttemptOutcome::overloaded
+                         : heard.deferred || clock_.now() >= until ? AttemptOutcome::notSent
+                                                                   : AttemptOutcome::unreachable;
     } else if (line->calledBack) {
-        result.how = Ending::cancelled;
-    } else if (clock_.now() >= until || !desk_.mayStillGo(*ticket)) {
-        result.how = Ending::unsent;
+        result.outcome = AttemptOutcome::cancelled;
+    } else if (clock_.now() >= until || !desk_.mayStillSend(*ticket)) {
+        result.outcome = AttemptOutcome::notSent;
         heard = {};
         heard.ready = true;
         keep(line, heard);
     } else {
         heard = Heard(true);
         // Rounded up, as what is left of a millisecond is still waited for.
-        const std::string d = std::to_string((until - clock_.now() + millis(1) - 1) / millis(1));
+        const std::string d = std::to_string((until - clock_.now() + milliseconds(1) - 1) / milliseconds(1));
         const std::size_t length = statement.before.size() + d.size() + statement.after.size() + 1;
         const std::string head = postgres::queryHead(length);
         const std::array<asio::const_buffer, 5> pieces = {asio::buffer(head), asio::buffer(statement.before),
@@ -249,21 +250,21 @@
         const auto unwritten = co_await line->write(pieces);
         if (!unwritten) co_await hear(line, until, heard);
         if (heard.spoilt)
-            result.how = Ending::spoilt;
+            result.outcome = AttemptOutcome::invalidResponse;
         else if (heard.ready && heard.whole)
-            result.how = Ending::delivered;
+            result.outcome = AttemptOutcome::succeeded;
         else if (heard.over && heard.code == "53300")
-            result.how = Ending::full;
+            result.outcome = AttemptOutcome::overloaded;
         else if (heard.over && (heard.code == "25006" || heard.code == "72000"))
-            result.how = Ending::missed;
+            result.outcome = AttemptOutcome::notEligible;
         else if (heard.over)
-            result.how = Ending::error;
+            result.outcome = AttemptOutcome::error;
         else if (line->calledBack)
-            result.how = Ending::cancelled;
+            result.outcome = AttemptOutcome::cancelled;
         else if (line->overdue)
-            result.how = unwritten ? Ending::unsent : Ending::timedOut;
+            result.outcome = unwritten ? AttemptOutcome::notSent : AttemptOutcome::timedOut;
         else
-            result.how = unwritten ? Ending::unreachable : Ending::broken;
+            result.outcome = unwritten ? AttemptOutcome::unreachable : AttemptOutcome::connectionLost;
         if (!heard.over) heard = Heard();  // what has no end says nothing
         result.role = heard.role;
         result.position = heard.position;
@@ -272,12 +273,12 @@
         keep(line, heard);
     }
     line.reset();
-    ticket->onCallBack(nullptr);
-    desk_.report(*ticket, result);
+    ticket->onCancel(nullptr);
+    desk_.reportResult(*ticket, result);
 }
 
 asio::awaitable<void> Stores::renew(std::string store) {
-    const Nanos begun = clock_.now();
+    const Nanoseconds begun = clock_.now();
     Heard heard;
     if (auto line = pool_.make(store, budget_)) {
         const bool up = co_await connect(line, begun + 2 * connectWithin_, tls::For::renewal, heard);
@@ -287,14 +288,14 @@
 }
 
 asio::awaitable<void> Stores::probe(std::string store) {
-    const Nanos until = clock_.now() + connectWithin_;
+    const Nanoseconds until = clock_.now() + connectWithin_;
     Heard heard;
-    Ending how = Ending::unreachable;
-    std::optional<Report> report;
+    AttemptOutcome how = AttemptOutcome::unreachable;
+    std::optional<StoreReport> report;
     std::shared_ptr<Line> line = co_await reach(store, until, nullptr, heard);
     if (!line) {
         // One that had no turn in time says nothing of the store, as one that finds it full.
-        if (heard.code == "53300" || heard.deferred) how = Ending::full;
+        if (heard.code == "53300" || heard.deferred) how = AttemptOutcome::overloaded;
     } else {
         heard = Heard(true);
         std::string query;
@@ -305,19 +306,19 @@
         const auto unwritten = co_await line->write(pieces);
         if (!unwritten) co_await hear(line, until, heard);
         if (heard.spoilt) {
-            how = Ending::spoilt;
+            how = AttemptOutcome::invalidResponse;
         } else if (heard.ready && heard.whole) {
-            how = Ending::delivered;
+            how = AttemptOutcome::succeeded;
             if (reports_) report = readReport(heard.value, clock_.now());
         } else if (heard.over) {
-            how = heard.code == "53300" ? Ending::full : Ending::error;
+            how = heard.code == "53300" ? AttemptOutcome::overloaded : AttemptOutcome::error;
         } else {
-            how = line->overdue ? Ending::timedOut : Ending::broken;
+            how = line->overdue ? AttemptOutcome::timedOut : AttemptOutcome::connectionLost;
         }
         keep(line, heard);
     }
     line.reset();
-    desk_.probed(store, how, report);
+    desk_.probeEnded(store, how, report);
 }
 
 }  // namespace granitereel
--- a/src/wire/stores.hpp
+++ b/src/wire/stores.hpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "facade/desk.hpp"
+#include "facade/async_router.hpp"
 #include "memory/stores.hpp"
 #include "tls/locksmith.hpp"
 
@@ -16,8 +16,8 @@
 
 class Stores {
 public:
-    Stores(asio::any_io_executor on, const Clock& clock, Desk& desk, const AddressBook& book, LinePool& pool,
-           Budget& budget, Nanos connectWithin, bool reports, tls::Locksmith* locksmith)
+    Stores(asio::any_io_executor on, const Clock& clock, AsyncRouter& desk, const AddressBook& book,
+           LinePool& pool, Budget& budget, Nanoseconds connectWithin, bool reports, tls::Locksmith* locksmith)
         : on_(on),
           clock_(clock),
           desk_(desk),
@@ -30,8 +30,8 @@
 
     // Launches, waits for the ending and reports it. The answer, where delivered, is written to `answer` as
     // the store sent it.
-    asio::awaitable<void> launch(std::string store, Nanos until, Outgoing statement,
-                                 std::shared_ptr<Ticket> ticket, std::string& answer);
+    asio::awaitable<void> startAttempt(std::string store, Nanoseconds until, Outgoing statement,
+                                       std::shared_ptr<TransactionHandle> ticket, std::string& answer);
     asio::awaitable<void> probe(std::string store);
     // Opens a connection that is at rest from then on, in place of one made under trust that holds no more.
     asio::awaitable<void> renew(std::string store);
@@ -40,24 +40,24 @@
 
 private:
     struct Heard;
-    asio::awaitable<bool> connect(std::shared_ptr<Line> line, Nanos until, tls::For what, Heard& heard);
-    asio::awaitable<std::shared_ptr<Line>> reach(std::string store, Nanos until, Ticket* ticket,
-                                                 Heard& heard);
-    asio::awaitable<void> hear(std::shared_ptr<Line> line, Nanos until, Heard& heard);
+    asio::awaitable<bool> connect(std::shared_ptr<Line> line, Nanoseconds until, tls::For what, Heard& heard);
+    asio::awaitable<std::shared_ptr<Line>> reach(std::string store, Nanoseconds until,
+                                                 TransactionHandle* ticket, Heard& heard);
+    asio::awaitable<void> hear(std::shared_ptr<Line> line, Nanoseconds until, Heard& heard);
     void keep(std::shared_ptr<Line> line, const Heard& heard);
 
     asio::any_io_executor on_;
     const Clock& clock_;
-    Desk& desk_;
+    AsyncRouter& desk_;
     const AddressBook& book_;
     LinePool& pool_;
     Budget& budget_;
-    Nanos connectWithin_;
+    Nanoseconds connectWithin_;
     bool reports_;
     tls::Locksmith* locksmith_;  // null where TLS is off
 };
 
 // What a report says, told as 'name=value,...'; nothing where any of it can't be.
-Report readReport(std::string_view text, Nanos now);
+StoreReport readReport(std::string_view text, Nanoseconds now);
 
 }  // namespace granitereel
--- a/standins/control_world.hpp
+++ b/standins/control_world.hpp
@@ -37,17 +37,17 @@
         int writesLeft = 1 << 30;                        // it dies behind so many writes
         int messagesLeft = 1 << 30;                      // it dies behind so many messages sent
         // The disk: how long a sync takes (0: at once), and whether it takes bytes.
-        Nanos syncTakes = 0;
+        Nanoseconds syncTakes = 0;
         bool refuses = false;
         DurabilityGate gate;
         std::vector<Unsynced> unsynced;  // lost when it is killed
         std::size_t syncing = 0;         // how many of them, from the front, the sync under way covers
-        Nanos syncedAt = 0;              // when it ends
+        Nanoseconds syncedAt = 0;        // when it ends
         int writes = 0, syncs = 0, storeAsks = 0;
         std::vector<std::string> log;
     };
     struct Packet {
-        Nanos at;
+        Nanoseconds at;
         std::string from, to;
         int linkTo;
         Json message;
@@ -56,10 +56,10 @@
     // What waits on one link for a cut to heal (TCP sends again) or for its receiver to wake.
     struct Stalled {
         std::vector<Packet> packets;
-        Nanos cutSince = 0;  // 0: not by a cut
+        Nanoseconds cutSince = 0;  // 0: not by a cut
     };
     // What is not acknowledged for so long ends its link, as the transport has it.
-    static constexpr Nanos linkSilence = millis(1500);
+    static constexpr Nanoseconds linkSilence = milliseconds(1500);
     std::map<std::string, Member> members;
     std::map<int, std::pair<std::string, int>> wires;  // link -> the other end
     std::map<std::string, std::uint64_t> lives;
@@ -72,7 +72,7 @@
     std::map<int, Stalled> stalled;
     std::vector<int> endsHeard;  // ends of links that are gone, to be told
     std::mt19937 chance;
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     int lastLink = 0;
     std::uint64_t lastCall = 0;
 
@@ -232,8 +232,8 @@
             if (m.messagesLeft-- <= 0) return kill(name);
             if (mute.count({name, to})) return;
             bytesSent[out->message.value("k", "")] += out->message.dump().size();
-            packets.push_back(
-                {now + millis(1) + Nanos(chance() % 3'000'000), name, to, link, out->message, lives[to]});
+            packets.push_back({now + milliseconds(1) + Nanoseconds(chance() % 3'000'000), name, to, link,
+                               out->message, lives[to]});
             // A link keeps its order.
             for (const Packet& p : packets)
                 if (p.linkTo == link) packets.back().at = std::max(packets.back().at, p.at + 1);
@@ -266,7 +266,7 @@
                 ++at;
                 continue;
             }
-            Nanos behind = now;
+            Nanoseconds behind = now;
             for (Packet& packet : stall.packets) {
                 packet.at = ++behind;
                 packets.push_back(std::move(packet));
@@ -277,7 +277,7 @@
         hearEnds();
     }
     void step() {
-        now += millis(1);
+        now += milliseconds(1);
         resume();
         for (bool any = true; any;) {
             any = false;
@@ -300,7 +300,7 @@
         }
         for (auto& [name, m] : members)
             if (!frozen.count(name)) carry(name);
-        if (now / millis(1) % 50) return;
+        if (now / milliseconds(1) % 50) return;
         for (auto& [name, m] : members) {
             if (!m.control || frozen.count(name)) continue;
             for (const std::string& to : m.control->toDial()) {
@@ -316,8 +316,8 @@
             carry(name);
         }
     }
-    void run(Nanos time) {
-        for (const Nanos until = now + time; now < until;) step();
+    void run(Nanoseconds time) {
+        for (const Nanoseconds until = now + time; now < until;) step();
     }
     std::uint64_t put(const std::string& at, std::uint64_t edition, const std::string& mark) {
         const std::uint64_t call = ++lastCall;
--- a/standins/gossip_world.hpp
+++ b/standins/gossip_world.hpp
@@ -33,7 +33,7 @@
     std::map<int, board::Side> sides;
     std::size_t bytes = 0, messages = 0, largest = 0;
     int brokenPromises = 0;
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     int lastLink = 0;
 
     void start(int node) {
@@ -108,9 +108,9 @@
     void settle() {
         for (auto links = ready(); !links.empty(); links = ready()) deliver(links.front());
     }
-    void pass(Nanos time) {
-        for (const Nanos until = now + time; now < until;) {
-            now = std::min(until, now + millis(1'000));
+    void pass(Nanoseconds time) {
+        for (const Nanoseconds until = now + time; now < until;) {
+            now = std::min(until, now + milliseconds(1'000));
             for (auto& [name, node] : nodes)
                 if (node.gossip) node.gossip->advance(now, node.inContact);
             settle();
--- a/standins/membership_rig.hpp
+++ b/standins/membership_rig.hpp
@@ -27,7 +27,7 @@
             m.incarnation = 0;
         }
         for (auto& [name, m] : members) start(name);
-        play(millis(2500));
+        play(milliseconds(2500));
     }
 
     // A machine at an address that was never used, with an empty disk.
@@ -69,8 +69,8 @@
             it = leaving.erase(it);
         }
     }
-    void play(Nanos time) {
-        for (const Nanos until = now + time; now < until;) {
+    void play(Nanoseconds time) {
+        for (const Nanoseconds until = now + time; now < until;) {
             step();
             endLeaving();
             for (const Packet& packet : packets)
@@ -78,9 +78,9 @@
         }
     }
     // How long until the member has ended; within 10 s.
-    Nanos untilEnded(const std::string& name) {
-        const Nanos since = now;
-        while (leaving.count(name) && now - since < millis(10'000)) play(millis(1));
+    Nanoseconds untilEnded(const std::string& name) {
+        const Nanoseconds since = now;
+        while (leaving.count(name) && now - since < milliseconds(10'000)) play(milliseconds(1));
         return now - since;
     }
     void cutOff(const std::string& name, bool back = false) {
@@ -113,11 +113,12 @@
             if (taken(each.at, each.call)) acknowledged = std::max(acknowledged, each.edition);
     }
     // Whether a configuration sent to each living member in turn is taken within that time.
-    bool takesWithin(Nanos time) {
+    bool takesWithin(Nanoseconds time) {
         for (const std::string& at : alive()) {
             send(at);
             const Put sent = puts.back();
-            for (const Nanos until = now + time; now < until && !taken(sent.at, sent.call);) play(millis(1));
+            for (const Nanoseconds until = now + time; now < until && !taken(sent.at, sent.call);)
+                play(milliseconds(1));
             if (!taken(sent.at, sent.call)) return false;
             note();
         }
--- a/standins/outlet.hpp
+++ b/standins/outlet.hpp
@@ -4,21 +4,21 @@
 #include <optional>
 #include <string>
 
-#include "front.hpp"
+#include "router.hpp"
 
 namespace granitereel::standins {
 
-struct SilentOutlet : Outlet {
-    void launch(const std::string&, const std::string&, Nanos) override {}
-    void nack(const std::string&, Nanos) override {}
-    void writeOff(const std::string&) override {}
+struct SilentOutlet : RouterOutput {
+    void startAttempt(const std::string&, const std::string&, Nanoseconds) override {}
+    void reject(const std::string&, Nanoseconds) override {}
+    void reportIndeterminate(const std::string&) override {}
     void cancel(const std::string&, int) override {}
     void probe(const std::string&) override {}
-    void hangUp(const std::string&) override {}
-    void followList(bool) override {}
-    void askList() override {}
-    void tell(std::optional<int>, const std::string&) override {}
-    void wake(Nanos, std::int64_t) override {}
+    void closeIdleConnections(const std::string&) override {}
+    void subscribeToList(bool) override {}
+    void requestList() override {}
+    void send(std::optional<int>, const std::string&) override {}
+    void wakeAt(Nanoseconds, std::int64_t) override {}
     void log(const std::string&) override {}
 };
 
--- a/standins/poolerrig.cpp
+++ b/standins/poolerrig.cpp
@@ -28,7 +28,7 @@
     for (const std::string& store : databases.names()) standing(store, "accepting");
     lead(databases.lead());
     carry();
-    pass(millis(1));
+    pass(milliseconds(1));
 }
 
 void PoolerRig::config(std::uint64_t edition, bool bounded) {
@@ -187,12 +187,12 @@
     return false;
 }
 
-void PoolerRig::run(Nanos time) {
-    for (const Nanos until = now + time;;) {
+void PoolerRig::run(Nanoseconds time) {
+    for (const Nanoseconds until = now + time;;) {
         while (step()) {
         }
         if (now >= until) return;
-        now += millis(5);
+        now += milliseconds(5);
         pooler->tick(now);
         carry();
     }
@@ -202,15 +202,15 @@
     say(client, line);
     std::vector<std::string> all = told(client);
     for (int i = 0; i < 800 && (all.empty() || !all.back().starts_with("READY")); ++i) {
-        run(millis(5));
+        run(milliseconds(5));
         for (std::string& each : told(client)) all.push_back(std::move(each));
     }
     return all;
 }
 
-void PoolerRig::pass(Nanos time) {
-    for (const Nanos until = now + time; now < until;) {
-        now = std::min(now + millis(20), until);
+void PoolerRig::pass(Nanoseconds time) {
+    for (const Nanoseconds until = now + time; now < until;) {
+        now = std::min(now + milliseconds(20), until);
         pooler->tick(now);
         carry();
     }
--- a/standins/poolerrig.hpp
+++ b/standins/poolerrig.hpp
@@ -27,7 +27,7 @@
 
     Databases databases{"svc", 3, 1};
     std::unique_ptr<proxy::Pooler> pooler;
-    Nanos now = millis(5'000'000);
+    Nanoseconds now = milliseconds(5'000'000);
 
     // Sessions on "primary" (head_office), "bounded" (age_bounded, 1,500 ms) and "mine" (own).
     int client(const std::string& database = "primary");
@@ -40,10 +40,10 @@
     // Lets one thing arrive at a store, or back; false: nothing is under way.
     bool step();
     // All of it, and some time.
-    void run(Nanos time = millis(40));
+    void run(Nanoseconds time = milliseconds(40));
     // Runs until the client is told `READY`, and returns what it was told.
     std::vector<std::string> ask(int client, const std::string& line);
-    void pass(Nanos time);
+    void pass(Nanoseconds time);
     // Connections of the pooler that were made and are open.
     std::size_t open() const { return lines_.size(); }
     void cutAll(const std::string& store);
@@ -52,7 +52,7 @@
     // Bytes that a store says of itself, whole lines of them.
     void storeSays(int line, std::string bytes);
     // The process stands still: time passes, nothing is heard or done.
-    void freeze(Nanos time) { now += time; }
+    void freeze(Nanoseconds time) { now += time; }
     // Asked for each request that arrives; none: no faults.
     std::function<Fault(const std::string& store, const std::string& request)> fault;
     // Answers wait until deliver(), also for connections that were given up meanwhile.
@@ -61,13 +61,13 @@
     // News, as the agent tells it.
     // `retained`: what the store had of the log of the lead before, "TERM.NUMBER"; empty: not known.
     void lead(const std::string& store, bool steady = true, const std::string& retained = "");
-    void lease(Nanos left);
+    void lease(Nanoseconds left);
     void config(std::uint64_t edition, bool bounded = true);
     void standing(const std::string& store, const std::string& standing, const std::string& role = "",
                   const std::string& address = "");
-    bool leases = true;     // whether questions for the lease are answered
+    bool leases = true;             // whether questions for the lease are answered
     bool replicasOnRecord = false;  // whether the record of the lead names the replicas
-    bool exchanges = true;  // whether the agent completes the exchange of boards on a new link
+    bool exchanges = true;          // whether the agent completes the exchange of boards on a new link
 
     std::vector<nlohmann::json> toCourier;
     std::vector<std::string> requests;  // all that reached a store, in order
