--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "control/succession.hpp"
 #include "board/lease.hpp"
+#include "control/succession.hpp"
 #include "proxy/lead_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "standins/databases.hpp"
@@ -28,18 +28,19 @@
 public:
     struct Options {
         bool fenceChecked = true;
-        Nanos platformLease = 0;
+        Nanoseconds platformLease = 0;
         unsigned seed = 1;
         int owners = 2;
-        std::optional<Nanos> postWay = {}, promoteTakes = {};  // none: at random
-        int lostInHundred = 0;           // of calls to stores and to the platform, requests and answers alike
-        bool provesByReplicas = false;   // fronts that are cut off from control ask replicas; these start and join
+        std::optional<Nanoseconds> postWay = {}, promoteTakes = {};  // none: at random
+        int lostInHundred = 0;  // of calls to stores and to the platform, requests and answers alike
+        bool provesByReplicas =
+            false;  // fronts that are cut off from control ask replicas; these start and join
         bool provesOnAnyConnection = false;  // broken: also on those made since the last lease
-        bool comesBackRenamed = false;   // stores that crash come back under other names
+        bool comesBackRenamed = false;       // stores that crash come back under other names
         bool startsAtAnyMoment = false;  // also between a replica's pause and the promotion that rests on it
     };
     struct Post {
-        Nanos at;
+        Nanoseconds at;
         std::string holder;
         int life;
         std::uint64_t fence;
@@ -50,7 +51,7 @@
         PromotionRig& rig;
         std::string name;
         int life = 0;
-        Nanos offset = 0;
+        Nanoseconds offset = 0;
         double rate = 1;
         std::unique_ptr<Succession> succession;
         board::Board known;
@@ -62,7 +63,9 @@
         std::vector<std::function<void()>> waiting;  // what is due while it is frozen
 
         Owner(PromotionRig& of, std::string called) : rig(of), name(std::move(called)) {}
-        Nanos clock() const { return offset + static_cast<Nanos>(static_cast<double>(rig.now) * rate); }
+        Nanoseconds clock() const {
+            return offset + static_cast<Nanoseconds>(static_cast<double>(rig.now) * rate);
+        }
         Outputs& outputs() override { return out; }
         std::uint64_t nextAsk(Succession&) override { return ++lastAsk; }
         const board::Board& board() const override { return known; }
@@ -87,8 +90,9 @@
                 });
         }
         void confirm(const std::string&, const Lead& expected,
-                     std::function<void(Confirmation, Nanos)> done) override {
-            const auto once = std::make_shared<std::function<void(Confirmation, Nanos)>>(std::move(done));
+                     std::function<void(Confirmation, Nanoseconds)> done) override {
+            const auto once =
+                std::make_shared<std::function<void(Confirmation, Nanoseconds)>>(std::move(done));
             rig.askRegister(
                 *this,
                 [this, expected, once] {
@@ -107,7 +111,7 @@
     // Reads from the lead without proof while its lease runs, and tells clients of their writes as the proxy
     // does.
     struct Front {
-        Nanos leaseUntil = 0, askedAt = 0;
+        Nanoseconds leaseUntil = 0, askedAt = 0;
         std::string store;
         bool frozen = false, cutOff = false;
         std::uint64_t heardSeq = 0;
@@ -120,7 +124,7 @@
     explicit PromotionRig(Options of) : options(of), chance(of.seed) {
         for (int i = 0; i < options.owners; ++i) {
             owners.push_back(std::make_unique<Owner>(*this, "m" + std::to_string(i)));
-            owners.back()->offset = Nanos(chance() % 1'000'000'000);
+            owners.back()->offset = Nanoseconds(chance() % 1'000'000'000);
             owners.back()->rate = 1 + (static_cast<int>(chance() % 11) - 5) / 1000.0;
             start(*owners.back());
         }
@@ -150,7 +154,7 @@
         owner.waiting.clear();
         owner.out.clear();
     }
-    void freeze(Owner& owner, Nanos time) {
+    void freeze(Owner& owner, Nanoseconds time) {
         owner.frozen = true;
         at(now + time, [this, &owner, life = owner.life] {
             if (owner.life == life) thaw(owner);
@@ -269,15 +273,15 @@
         });
     }
 
-    void run(Nanos time) {
-        for (const Nanos until = now + time; now < until;) {
-            now += millis(1);
+    void run(Nanoseconds time) {
+        for (const Nanoseconds until = now + time; now < until;) {
+            now += milliseconds(1);
             while (!events.empty() && events.begin()->first <= now) {
                 const auto due = std::move(events.begin()->second);
                 events.erase(events.begin());
                 due();
             }
-            const Nanos turn = now / millis(1);
+            const Nanoseconds turn = now / milliseconds(1);
             if (turn % 50 == 0)
                 for (auto& owner : owners)
                     toOwner(*owner, 0, [o = owner.get()] { o->succession->tick(o->clock()); });
@@ -303,61 +307,63 @@
     Options options;
     Databases databases{"svc", 3, 1};
     std::mt19937 chance;
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     std::vector<std::unique_ptr<Owner>> owners;
     std::vector<Front> fronts;
     std::optional<Lead> lead;
     std::vector<Post> posts;  // as the platform saw them
     std::set<std::string> dark, hiddenFromControl, formerNames;
     std::string left;  // whose log is away; empty: none
-    Nanos leftAt = 0;
+    Nanoseconds leftAt = 0;
     int postsLeft = 0;
-    Nanos promotedBy = 0;  // by then every promotion asked for so far has been carried out
+    Nanoseconds promotedBy = 0;  // by then every promotion asked for so far has been carried out
     // A start ends a pause, so none is assumed between a pause and the promotion that rests on it. No
     // promotion goes on without a store that is still on record.
     bool mayStart() const {
         if (options.startsAtAnyMoment) return !left.empty();
-        if (left.empty() || !lead || now - leftAt <= millis(3000) || now <= promotedBy) return false;
+        if (left.empty() || !lead || now - leftAt <= milliseconds(3000) || now <= promotedBy) return false;
         return lead->steady || lead->replicas.count(left) > 0;
     }
     std::vector<std::string> acknowledged, faults;
     int provenAlone = 0;  // writes told by what the replicas said
     int doubtful = 0;     // writes of whose fate the client was told nothing
-    static constexpr Nanos frontLease = millis(700);
+    static constexpr Nanoseconds frontLease = milliseconds(700);
 
 private:
     friend struct Owner;
-    void at(Nanos when, std::function<void()> what) { events.emplace(when, std::move(what)); }
-    Nanos delay() { return millis(1) + Nanos(chance() % 4 ? chance() % 5'000'000 : chance() % 60'000'000); }
+    void at(Nanoseconds when, std::function<void()> what) { events.emplace(when, std::move(what)); }
+    Nanoseconds delay() {
+        return milliseconds(1) + Nanoseconds(chance() % 4 ? chance() % 5'000'000 : chance() % 60'000'000);
+    }
     bool lost() { return static_cast<int>(chance() % 100) < options.lostInHundred; }
 
-    void toOwner(Owner& owner, Nanos in, std::function<void()> what) {
+    void toOwner(Owner& owner, Nanoseconds in, std::function<void()> what) {
         at(now + in, [this, &owner, life = owner.life, what = std::move(what)] {
             if (owner.life == life) step(owner, what);
         });
     }
     void step(Owner& owner, std::function<void()> what) {
         if (!owner.succession) return;
-        if (!owner.frozen && ++owner.steps == owner.freezeAtStep) freeze(owner, millis(20'000));
+        if (!owner.frozen && ++owner.steps == owner.freezeAtStep) freeze(owner, milliseconds(20'000));
         if (owner.frozen) return owner.waiting.push_back(std::move(what));
         what();
         // What it wants done leaves in steps of its own, as it may freeze before each.
         for (Output& each : std::exchange(owner.out, {})) {
             if (auto* ask = std::get_if<ToStore>(&each))
-                toOwner(owner, Nanos(chance() % 2'000'000),
+                toOwner(owner, Nanoseconds(chance() % 2'000'000),
                         [this, &owner, ask = *ask] { leave(owner, ask); });
             if (auto* post = std::get_if<ToPlatform>(&each))
-                toOwner(owner, Nanos(chance() % 2'000'000),
+                toOwner(owner, Nanoseconds(chance() % 2'000'000),
                         [this, &owner, post = *post] { leave(owner, post); });
         }
     }
     void askRegister(Owner& owner, std::function<void()> evaluate, std::function<void()> gaveUp) {
-        toOwner(owner, Nanos(chance() % 2'000'000), [this, &owner, evaluate = std::move(evaluate)] {
+        toOwner(owner, Nanoseconds(chance() % 2'000'000), [this, &owner, evaluate = std::move(evaluate)] {
             at(now + delay(), [&owner, evaluate] {
                 if (!owner.cutOff) evaluate();
             });
         });
-        toOwner(owner, millis(900), std::move(gaveUp));
+        toOwner(owner, milliseconds(900), std::move(gaveUp));
     }
     void write(const Lead& to) {
         lead = to;
@@ -394,10 +400,10 @@
             owner.succession->answered(no, std::nullopt, owner.clock());
         };
         if (owner.clock() >= ask.notAfter) return none();
-        toOwner(owner, millis(ask.within_ms), none);
+        toOwner(owner, milliseconds(ask.within_ms), none);
         if (owner.storesCut || lost()) return;
         // One in sixteen arrives as late as its time-out allows.
-        const Nanos way = chance() % 16 ? delay() : millis(ask.within_ms - 1);
+        const Nanoseconds way = chance() % 16 ? delay() : milliseconds(ask.within_ms - 1);
         at(now + way, [this, &owner, life = owner.life, ask] {
             if (hiddenFromControl.count(ask.store)) return;
             const auto row = say(ask.store, ask.text);
@@ -407,16 +413,17 @@
         });
     }
     void leave(Owner& owner, const ToPlatform& post) {
-        const auto ended = [this, &owner, no = post.ask](Nanos in, PromotionAnswer answer) {
+        const auto ended = [this, &owner, no = post.ask](Nanoseconds in, PromotionAnswer answer) {
             toOwner(owner, in,
                     [&owner, no, answer] { owner.succession->promoted(no, answer, owner.clock()); });
         };
         if (owner.clock() >= post.notAfter) return ended(0, PromotionAnswer::notSent);
-        ended(millis(post.within_ms), PromotionAnswer::silent);
+        ended(milliseconds(post.within_ms), PromotionAnswer::silent);
         if (owner.platformCut || lost()) return;
-        const Nanos atRandom = chance() % 4 ? delay() : millis(1) + Nanos(chance() % 1000) * 1'190'000;
-        const Nanos way = options.postWay.value_or(atRandom);
-        promotedBy = now + way + millis(800);
+        const Nanoseconds atRandom =
+            chance() % 4 ? delay() : milliseconds(1) + Nanoseconds(chance() % 1000) * 1'190'000;
+        const Nanoseconds way = options.postWay.value_or(atRandom);
+        promotedBy = now + way + milliseconds(800);
         ++postsLeft;
         at(now + way, [this, &owner, life = owner.life, post, ended] {
             const PromotionAnswer answer = arrived({now, owner.name, life, post.fence, post.store});
@@ -437,8 +444,8 @@
         posts.push_back(post);
         highestFence = std::max(highest, post.fence);
         if (dark.count(post.store) || !standings.count(post.store)) return PromotionAnswer::conflict;
-        const Nanos atRandom = millis(100) + Nanos(chance() % 700) * 1'000'000;
-        const Nanos takes = options.promoteTakes.value_or(atRandom);
+        const Nanoseconds atRandom = milliseconds(100) + Nanoseconds(chance() % 700) * 1'000'000;
+        const Nanoseconds takes = options.promoteTakes.value_or(atRandom);
         at(now + takes, [this, store = post.store] {
             if (!standings.count(store) || databases.lead() == store || !databases.promote(store)) return;
             for (const std::string& id : acknowledged)
@@ -452,7 +459,7 @@
                          std::to_string(seen.fence) + " by " + seen.holder);
     }
     void readUnderLease(Front& front) {
-        if (now - front.askedAt >= millis(200) && !front.frozen && !front.cutOff) {
+        if (now - front.askedAt >= milliseconds(200) && !front.frozen && !front.cutOff) {
             front.askedAt = now;
             at(now + delay(), [this, &front, asked = now] {
                 if (!lead) return;
@@ -477,7 +484,7 @@
             faults.push_back("a front reads from " + front.store + " while " + databases.lead() + " leads");
     }
 
-    std::multimap<Nanos, std::function<void()>> events;
+    std::multimap<Nanoseconds, std::function<void()>> events;
     board::Board truth;
     std::map<std::string, std::string> standings, addresses;
     std::uint64_t version = 1, highestFence = 0;
--- a/standins/register_history.hpp
+++ b/standins/register_history.hpp
@@ -8,29 +8,29 @@
 #include <string>
 #include <vector>
 
-#include "nanos.hpp"
+#include "nanoseconds.hpp"
 
 namespace granitereel::standins {
 
 struct RegisterCall {
     std::string caller;
     bool write = false;
-    Nanos start = 0;
-    std::optional<Nanos> end;  // none: not answered, or without saying whether it ran
-    std::uint64_t number = 0;  // written, or read; 0: nothing was there
+    Nanoseconds start = 0;
+    std::optional<Nanoseconds> end;  // none: not answered, or without saying whether it ran
+    std::uint64_t number = 0;        // written, or read; 0: nothing was there
     std::string body;
 };
 
 class RegisterHistory {
 public:
     // Calls are named by their place in the history.
-    std::size_t begin(const std::string& caller, bool write, Nanos now, std::uint64_t number = 0,
+    std::size_t begin(const std::string& caller, bool write, Nanoseconds now, std::uint64_t number = 0,
                       const std::string& body = {}) {
         calls_.push_back({caller, write, now, std::nullopt, number, body});
         return calls_.size() - 1;
     }
-    void acknowledged(std::size_t call, Nanos now) { calls_[call].end = now; }
-    void read(std::size_t call, Nanos now, std::uint64_t number, const std::string& body) {
+    void acknowledged(std::size_t call, Nanoseconds now) { calls_[call].end = now; }
+    void read(std::size_t call, Nanoseconds now, std::uint64_t number, const std::string& body) {
         calls_[call].end = now;
         calls_[call].number = number;
         calls_[call].body = body;
@@ -62,8 +62,8 @@
     }
     static std::string text(const RegisterCall& call) {
         return call.caller + (call.write ? " wrote " : " read ") + std::to_string(call.number) + " '" +
-               call.body + "' from " + std::to_string(call.start / millis(1)) + " to " +
-               std::to_string(call.end.value_or(0) / millis(1)) + " ms";
+               call.body + "' from " + std::to_string(call.start / milliseconds(1)) + " to " +
+               std::to_string(call.end.value_or(0) / milliseconds(1)) + " ms";
     }
 
     std::vector<RegisterCall> calls_;
--- a/standins/succession_rig.hpp
+++ b/standins/succession_rig.hpp
@@ -22,7 +22,7 @@
     std::uint64_t next = 1, version = 1, highestFence = 0;
     int late = 0;
     std::vector<ToPlatform> heldBack;  // calls that serve() was told not to carry out
-    Nanos clock = 0;
+    Nanoseconds clock = 0;
     std::vector<std::string> refused;
 
     SuccessionRig() {
@@ -48,7 +48,7 @@
         done(to);
     }
     void confirm(const std::string&, const Lead& expected,
-                 std::function<void(Confirmation, Nanos)> done) override {
+                 std::function<void(Confirmation, Nanoseconds)> done) override {
         const bool stands = lead && written(*lead) == written(expected);
         done(stands ? Confirmation::stands : Confirmation::replaced, clock);
     }
@@ -56,7 +56,8 @@
     int syncReplicas(const std::string&) const override { return 1; }
 
     // Carries out what is asked, and answers it; `stopAfter`: that many asks, then whoever asked is dead.
-    int serve(Succession& owner, Nanos now, int stopAfter = 1 << 30, bool answers = true, bool posts = true) {
+    int serve(Succession& owner, Nanoseconds now, int stopAfter = 1 << 30, bool answers = true,
+              bool posts = true) {
         int served = 0;
         while (!out.empty() && served < stopAfter) {
             Outputs batch = std::exchange(out, {});
@@ -100,8 +101,8 @@
     std::vector<std::string> acknowledged;
 };
 
-inline void settleDown(SuccessionRig& rule, Succession& owner, Nanos& now, Nanos time) {
-    for (const Nanos until = now + time; now < until; now += millis(50)) {
+inline void settleDown(SuccessionRig& rule, Succession& owner, Nanoseconds& now, Nanoseconds time) {
+    for (const Nanoseconds until = now + time; now < until; now += milliseconds(50)) {
         rule.clock = now;
         owner.tick(now);
         rule.serve(owner, now);
--- a/standins/world.cpp
+++ b/standins/world.cpp
@@ -13,30 +13,32 @@
     World& world;
     const int number;
     double rate = 1;
-    Nanos offset = 0;
+    Nanoseconds offset = 0;
     bool alive = true;
-    Nanos stalledUntil = 0;
-    Nanos planned = -1;
+    Nanoseconds stalledUntil = 0;
+    Nanoseconds planned = -1;
     std::vector<std::pair<int, std::string>> waiting;  // came while it was stalled
     std::unique_ptr<Members> members;
     Guests guests;
 
     Process(World& in, int front) : world(in), number(front) {}
-    Nanos clock() const { return offset + static_cast<Nanos>(std::llround(double(world.now_) * rate)); }
-    Nanos worldTime(Nanos own) const {
-        return static_cast<Nanos>(std::ceil(double(own - offset) / rate));
+    Nanoseconds clock() const {
+        return offset + static_cast<Nanoseconds>(std::llround(double(world.now_) * rate));
+    }
+    Nanoseconds worldTime(Nanoseconds own) const {
+        return static_cast<Nanoseconds>(std::ceil(double(own - offset) / rate));
     }
     bool stalled() const { return world.now_ < stalledUntil; }
 
     void send(int member, const Said& what) override {
         world.carry(number, member, tier::write(what, "world", number, member));
     }
-    void received(int from, std::uint32_t birth, Nanos sent, const tier::Further& further) override {
+    void received(int from, std::uint32_t birth, Nanoseconds sent, const tier::Further& further) override {
         for (const auto& guest : guests)
             if (guest->kind() == further.kind) guest->received(clock(), from, birth, sent, further.bytes);
     }
-    Nanos next() const {
-        Nanos when = members->next();
+    Nanoseconds next() const {
+        Nanoseconds when = members->next();
         for (const auto& guest : guests) when = std::min(when, guest->next());
         return when;
     }
@@ -61,7 +63,7 @@
     : count_(count),
       pace_(pace),
       chance_(static_cast<std::minstd_rand::result_type>(seed * 7919 + 17)),
-      now_(millis(1'000'000)),
+      now_(milliseconds(1'000'000)),
       processes_(static_cast<std::size_t>(count)),
       elders_(static_cast<std::size_t>(count)) {
     chance_.discard(3);
@@ -70,9 +72,10 @@
 std::shared_ptr<World::Process> World::begin(int front) {
     auto process = std::make_shared<Process>(*this, front);
     process->rate = 1 + drift * (2 * chance() - 1);
-    process->offset = static_cast<Nanos>(chance_()) * 1000;
+    process->offset = static_cast<Nanoseconds>(chance_()) * 1000;
     const std::uint32_t birth = chance_();
-    process->members = std::make_unique<Members>(front, count_, birth, chance_(), pace_, process->clock(), *process);
+    process->members =
+        std::make_unique<Members>(front, count_, birth, chance_(), pace_, process->clock(), *process);
     if (guests) process->guests = guests(front, *process->members, process->clock(), chance_());
     plan(process);
     return process;
@@ -94,7 +97,7 @@
     processes_[static_cast<std::size_t>(front)] = nullptr;
 }
 
-void World::stall(int front, Nanos over) {
+void World::stall(int front, Nanoseconds over) {
     const auto process = processes_[static_cast<std::size_t>(front)];
     process->stalledUntil = now_ + over;
     after(over, [this, process] {
@@ -131,13 +134,13 @@
     for (int i = 0; i < count; ++i) resizeAt(i, count);
 }
 
-void World::after(Nanos delay, std::function<void()> what) {
+void World::after(Nanoseconds delay, std::function<void()> what) {
     events_.push({now_ + delay, ++order_, std::move(what)});
 }
 
 void World::plan(const std::shared_ptr<Process>& process) {
     if (!process->alive) return;
-    const Nanos when = std::max(now_, process->worldTime(process->next()));
+    const Nanoseconds when = std::max(now_, process->worldTime(process->next()));
     if (process->planned >= 0 && process->planned <= when && process->planned >= now_) return;
     process->planned = when;
     after(when - now_, [this, process, when] {
@@ -154,7 +157,7 @@
     auto arrives = [this, from, to, bytes = std::move(bytes)] { arrive(from, to, bytes); };
     if (holds && holds(from, to)) return held_.push_back(std::move(arrives));
     const auto delay = [&] {
-        return leastDelay + static_cast<Nanos>(chance() * double(mostDelay - leastDelay));
+        return leastDelay + static_cast<Nanoseconds>(chance() * double(mostDelay - leastDelay));
     };
     if (repeats > 0 && chance() < repeats) after(delay(), arrives);
     after(delay(), std::move(arrives));
@@ -185,7 +188,7 @@
     }
 }
 
-void World::run(Nanos until) {
+void World::run(Nanoseconds until) {
     while (!events_.empty() && events_.top().when <= until) {
         now_ = std::max(now_, events_.top().when);
         const auto what = std::move(const_cast<Event&>(events_.top()).what);
@@ -195,10 +198,10 @@
     now_ = until;
 }
 
-bool World::runUntil(Nanos atMost, const std::function<bool()>& holdsNow) {
-    for (const Nanos end = now_ + atMost; now_ < end;) {
+bool World::runUntil(Nanoseconds atMost, const std::function<bool()>& holdsNow) {
+    for (const Nanoseconds end = now_ + atMost; now_ < end;) {
         if (holdsNow()) return true;
-        run(now_ + millis(10));
+        run(now_ + milliseconds(10));
     }
     return holdsNow();
 }
@@ -240,7 +243,7 @@
     return processes_[static_cast<std::size_t>(front)]->stalled();
 }
 
-Nanos World::clockOf(int front, bool elder) const {
+Nanoseconds World::clockOf(int front, bool elder) const {
     return (elder ? elders_ : processes_)[static_cast<std::size_t>(front)]->clock();
 }
 
--- a/standins/world.hpp
+++ b/standins/world.hpp
@@ -1,6 +1,6 @@
 // A tier in virtual time: the deciding part of every front in one thread, with a network that loses, delays,
-// cuts, holds and repeats, clocks that drift, processes that stall, die, leave and start again. A seed plays the
-// same world each time. Datagrams pass as bytes, through the codec.
+// cuts, holds and repeats, clocks that drift, processes that stall, die, leave and start again. A seed plays
+// the same world each time. Datagrams pass as bytes, through the codec.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
     // The network. A datagram passes with 1 - loss, after a delay between these, unless the way is cut.
     double loss = 0, repeats = 0;
-    Nanos leastDelay = millis(1), mostDelay = millis(15);
+    Nanoseconds leastDelay = milliseconds(1), mostDelay = milliseconds(15);
     std::function<bool(int from, int to)> cut;  // empty: none is
     // Datagrams for which this says yes are kept until letGo().
     std::function<bool(int from, int to)> holds;
@@ -30,25 +30,25 @@
 
     // Processes. Each is up from the start unless `count` were told to wait by `down`.
     void kill(int front);
-    void start(int front);          // from nothing
-    void stall(int front, Nanos over);
-    void leave(int front);          // says so; its process goes on until kill()
-    void resize(int count);         // every front's list of peers, at once
+    void start(int front);  // from nothing
+    void stall(int front, Nanoseconds over);
+    void leave(int front);   // says so; its process goes on until kill()
+    void resize(int count);  // every front's list of peers, at once
     void resizeAt(int front, int count);
     // An elder process of the name goes on beside its successor: both are sent what comes for that name.
     void startBeside(int front);
 
     // What builds on the tier in each front, made anew with each process.
     using Guests = std::vector<std::unique_ptr<tier::Guest>>;
-    std::function<Guests(int front, tier::Members& members, Nanos now, std::uint64_t seed)> guests;
+    std::function<Guests(int front, tier::Members& members, Nanoseconds now, std::uint64_t seed)> guests;
 
     // Clocks run between 1 - drift and 1 + drift as fast as the world's, and start anywhere.
     double drift = 0;
 
-    Nanos now() const { return now_; }
-    void run(Nanos until);
+    Nanoseconds now() const { return now_; }
+    void run(Nanoseconds until);
     // Runs until it holds, looked at every 10 ms, `atMost` from now; returns whether it came to hold.
-    bool runUntil(Nanos atMost, const std::function<bool()>& holds);
+    bool runUntil(Nanoseconds atMost, const std::function<bool()>& holds);
 
     bool up(int front) const;
     const tier::Members& at(int front) const;
@@ -65,10 +65,10 @@
     tier::Sight sight(int front) const;
     bool stalledNow(int front) const;
     // What a front's own clock shows now.
-    Nanos clockOf(int front, bool elder = false) const;
+    Nanoseconds clockOf(int front, bool elder = false) const;
 
     struct Change {
-        Nanos when;
+        Nanoseconds when;
         int observer, subject;
         bool alive;  // the subject's process was up and running then
         std::string line;
@@ -83,14 +83,14 @@
 private:
     struct Process;
     struct Event {
-        Nanos when;
+        Nanoseconds when;
         std::uint64_t order;
         std::function<void()> what;
         bool operator>(const Event& other) const {
             return when != other.when ? when > other.when : order > other.order;
         }
     };
-    void after(Nanos delay, std::function<void()> what);
+    void after(Nanoseconds delay, std::function<void()> what);
     void plan(const std::shared_ptr<Process>& process);
     void carry(int from, int to, std::string bytes);
     void arrive(int from, int to, const std::string& bytes);
@@ -100,7 +100,7 @@
     int count_;
     const tier::Pace pace_;
     std::minstd_rand chance_;
-    Nanos now_ = 0;
+    Nanoseconds now_ = 0;
     std::uint64_t order_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
     std::vector<std::shared_ptr<Process>> processes_, elders_;
--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -14,25 +14,27 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "front.hpp"
+#include "router.hpp"
 #include "standins/ends.hpp"
 #include "standins/process.hpp"
 
 namespace granitereel {
 
-struct Notes final : Outlet {
+struct Notes final : RouterOutput {
     std::vector<std::string> lines;
     void add(std::string line) { lines.push_back(std::move(line)); }
-    void launch(const std::string& t, const std::string& s, Nanos) override { add("launch " + t + " " + s); }
-    void nack(const std::string& t, Nanos) override { add("nack " + t); }
-    void writeOff(const std::string& t) override { add("write off " + t); }
+    void startAttempt(const std::string& t, const std::string& s, Nanoseconds) override {
+        add("launch " + t + " " + s);
+    }
+    void reject(const std::string& t, Nanoseconds) override { add("nack " + t); }
+    void reportIndeterminate(const std::string& t) override { add("write off " + t); }
     void cancel(const std::string& t, int no) override { add("cancel " + t + " " + std::to_string(no)); }
     void probe(const std::string& s) override { add("probe " + s); }
-    void hangUp(const std::string& s) override { add("hang up " + s); }
-    void followList(bool) override { add("follow"); }
-    void askList() override { add("ask"); }
-    void tell(std::optional<int>, const std::string&) override { add("tell"); }
-    void wake(Nanos, std::int64_t) override {}
+    void closeIdleConnections(const std::string& s) override { add("hang up " + s); }
+    void subscribeToList(bool) override { add("follow"); }
+    void requestList() override { add("ask"); }
+    void send(std::optional<int>, const std::string&) override { add("tell"); }
+    void wakeAt(Nanoseconds, std::int64_t) override {}
     void log(const std::string&) override {}
 
     int count(const std::string& start) const {
@@ -44,44 +46,48 @@
 
 enum { look, recent, report, pay, post, check };  // the lanes of charter()
 
-inline Charter charter() {
-    Charter c;
-    auto lane = [&](Need need, Effect effect, double gain, Nanos goal, Nanos cutOff) -> Lane& {
-        Lane l;
-        l.need = need;
-        l.effect = effect;
-        l.gain = gain;
-        l.goalTime = goal;
-        l.cutOff = cutOff;
-        c.lanes.push_back(l);
-        return c.lanes.back();
+inline RoutingConfig charter() {
+    RoutingConfig c;
+    auto lane = [&](Consistency need, RetrySafety effect, double gain, Nanoseconds goal,
+                    Nanoseconds cutOff) -> TransactionClass& {
+        TransactionClass l;
+        l.consistency = need;
+        l.retrySafety = effect;
+        l.value = gain;
+        l.targetLatency = goal;
+        l.timeout = cutOff;
+        c.classes.push_back(l);
+        return c.classes.back();
     };
-    lane(Need::bounded, Effect::harmless, 3, millis(400), millis(1000)).bound = millis(300);
-    lane(Need::session, Effect::harmless, 1, millis(400), millis(1000));
-    lane(Need::any, Effect::harmless, 1, millis(4000), millis(8000));
-    lane(Need::write, Effect::oneShot, 4, millis(600), millis(2000)).lateShare = 0.5;
-    Lane& stamped = lane(Need::write, Effect::stamped, 4, millis(600), millis(2000));
-    stamped.reach = Reach::group;
-    stamped.window = millis(1200);
-    lane(Need::fresh, Effect::harmless, 1, millis(600), millis(2000));
-    c.launchLimit = 6;
-    c.mayProbe = c.mayCancel = c.reportsTellRole = true;
-    c.askWithin = millis(10'000);
-    c.coldTime = millis(15'000);
-    c.coldFrom = 0.25;
-    c.fallMultiple = 2;
-    c.tick = millis(5);
+    lane(Consistency::bounded, RetrySafety::idempotent, 3, milliseconds(400), milliseconds(1000))
+        .maxStaleness = milliseconds(300);
+    lane(Consistency::session, RetrySafety::idempotent, 1, milliseconds(400), milliseconds(1000));
+    lane(Consistency::eventual, RetrySafety::idempotent, 1, milliseconds(4000), milliseconds(8000));
+    lane(Consistency::write, RetrySafety::unsafe, 4, milliseconds(600), milliseconds(2000)).lateValueShare =
+        0.5;
+    TransactionClass& stamped =
+        lane(Consistency::write, RetrySafety::deduplicated, 4, milliseconds(600), milliseconds(2000));
+    stamped.deduplicationScope = DeduplicationScope::group;
+    stamped.deduplicationWindow = milliseconds(1200);
+    lane(Consistency::strong, RetrySafety::idempotent, 1, milliseconds(600), milliseconds(2000));
+    c.maxAttempts = 6;
+    c.probesAllowed = c.cancelAllowed = c.reportsIncludeRole = true;
+    c.listMaxAge = milliseconds(10'000);
+    c.warmUpTime = milliseconds(15'000);
+    c.coldCapacityShare = 0.25;
+    c.overloadMultiple = 2;
+    c.tick = milliseconds(5);
     return c;
 }
 
 struct Bench {
     Notes notes;
-    Nanos now = millis(1'000'000);
-    Front front;
+    Nanoseconds now = milliseconds(1'000'000);
+    Router front;
     Group& group;
     std::vector<std::unique_ptr<Transaction>> loose;
 
-    explicit Bench(const Charter& c = charter(), std::uint64_t seed = 7)
+    explicit Bench(const RoutingConfig& c = charter(), std::uint64_t seed = 7)
         : front(c, seed, now, notes), group(front.groups_[0]) {}
 
     // A warm, idle store of group 0 whose position is the present.
@@ -92,9 +98,9 @@
         s.id = id;
         s.pool = pool;
         s.window = 100;
-        s.position = s.positionTold = s.heard = now;
+        s.position = s.positionUpdatedAt = s.respondedAt = now;
         group.members.push_back(&s);
-        group.redeal = false;
+        group.poolsOutdated = false;
         return s;
     }
     Store& primary(const std::string& id) {
@@ -109,50 +115,54 @@
         slot = std::make_unique<Transaction>();
         Transaction& t = *slot;
         t.id = id;
-        t.lane = lane;
+        t.classIndex = lane;
         t.group = &group;
-        t.arrived = now;
-        t.goal = now + front.lanes_[lane].goalTime;
-        t.cutOff = now + front.lanes_[lane].cutOff;
+        t.arrivedAt = now;
+        t.targetTime = now + front.classes_[lane].targetLatency;
+        t.deadline = now + front.classes_[lane].timeout;
         return t;
     }
-    void pass(std::int64_t ms) { front.clock(now += millis(ms)); }
+    void pass(std::int64_t ms) { front.setTime(now += milliseconds(ms)); }
     bool known(const std::string& id) const { return front.transactions_.count(id) > 0; }
     std::pair<std::size_t, std::size_t> marks() const {
-        return {front.marks_.size(), front.olderMarks_.size()};
+        return {front.sessionWrites_.size(), front.olderSessionWrites_.size()};
     }
-    Nanos mustSee(const std::string& id) const { return front.transactions_.at(id)->mustSee; }
+    Nanoseconds mustSee(const std::string& id) const { return front.transactions_.at(id)->minPosition; }
 
-    Store* pick(const Transaction& t) { return front.pick(group, t); }
-    Store* pickReplica(const Transaction& t) { return front.pickReplica(group, t); }
-    void deal() { front.deal(group); }
-    void giveBack(int tier) { front.giveBack(group, tier); }
-    void launch(Transaction& t, Store& s) { front.launch(t, s); }
+    Store* selectStore(const Transaction& t) { return front.selectStore(group, t); }
+    Store* selectReplica(const Transaction& t) { return front.selectReplica(group, t); }
+    void assignPools() { front.assignPools(group); }
+    void returnBorrowed(int tier) { front.returnBorrowed(group, tier); }
+    void startAttempt(Transaction& t, Store& s) { front.startAttempt(t, s); }
     void route(Transaction& t) { front.route(t); }
-    void finish(Transaction& t) { front.finish(t); }
-    bool freshEnough(const Store& s, const Transaction& t) { return front.freshEnough(s, t); }
-    bool mayLaunch(const Transaction& t, const Store& s) { return front.mayLaunch(t, s); }
-    bool mayNack(const Transaction& t) { return front.mayNack(t); }
+    void finishUnserved(Transaction& t) { front.finishUnserved(t); }
+    bool isFreshEnough(const Store& s, const Transaction& t) { return front.isFreshEnough(s, t); }
+    bool mayStartAttempt(const Transaction& t, const Store& s) { return front.mayStartAttempt(t, s); }
+    bool mayReject(const Transaction& t) { return front.mayReject(t); }
     bool probeIsDue(const Store& s) { return front.probeIsDue(s); }
-    void tellRole(Store& s, Role role, Nanos asOf, bool byAnswer) { front.tellRole(s, role, asOf, byAnswer); }
-    void judgeSilence(Store& s) { front.judgeSilence(s); }
-    void distrust(Store& s, bool away) { front.distrust(s, away); }
-    bool wellEnough(const Store& s) { return front.wellEnough(s); }
+    void updateRole(Store& s, Role role, Nanoseconds asOf, bool byAnswer) {
+        front.updateRole(s, role, asOf, byAnswer);
+    }
+    void checkSilence(Store& s) { front.checkSilence(s); }
+    void markUnhealthy(Store& s, bool away) { front.markUnhealthy(s, away); }
+    bool isUsable(const Store& s) { return front.isUsable(s); }
     bool hasRoom(Store& s, const Transaction& t) { return front.hasRoom(s, t); }
-    bool coldRoom(Store& s, double work) { return front.coldRoom(s, work); }
-    void setBearing(double work) { front.bearing_ = work; }
-    void heardFrom(int zone) { front.ways_[zone].heard = now; }
-    void settle(Store& s, Ending how, Nanos delay) {
-        front.settleAccount(s, {"x", 0, look, now, false}, how, delay);
+    bool hasWarmUpCredit(Store& s, double work) { return front.hasWarmUpCredit(s, work); }
+    void setBearing(double work) { front.warmStoreWork_ = work; }
+    void heardFrom(int zone) { front.zonePaths_[zone].respondedAt = now; }
+    void settle(Store& s, AttemptOutcome how, Nanoseconds delay) {
+        front.recordOutcome(s, {"x", 0, look, now, false}, how, delay);
+    }
+    void seen(int lane, Nanoseconds delay) {
+        front.classWork_[lane].add(now, milliseconds(30'000), double(delay));
     }
-    void seen(int lane, Nanos delay) { front.laneTime_[lane].add(now, millis(30'000), double(delay)); }
-    Nanos alreadyWaited(int lane, Nanos patience) { return front.alreadyWaited(lane, patience); }
-    double gainNow(const Transaction& t) { return front.gainNow(t); }
+    Nanoseconds alreadyWaited(int lane, Nanoseconds patience) { return front.alreadyWaited(lane, patience); }
+    double valueRate(const Transaction& t) { return front.valueRate(t); }
     bool launchedTo(const std::string& t, const std::string& s) {
         return notes.count("launch " + t + " " + s) > 0;
     }
-    void end(const std::string& t, int no, Store& s, Ending how, Role role = Role::unknown) {
-        front.ended(t, no, s.id, how, millis(20), role, {}, how == Ending::delivered);
+    void end(const std::string& t, int no, Store& s, AttemptOutcome how, Role role = Role::unknown) {
+        front.attemptEnded(t, no, s.id, how, milliseconds(20), role, {}, how == AttemptOutcome::succeeded);
     }
 };
 
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -8,30 +8,30 @@
     Store& s = b.store("s");
     const Transaction& t = b.transaction(look);
     b.pass(299);
-    assert(b.freshEnough(s, t));
+    assert(b.isFreshEnough(s, t));
     b.pass(1);
-    assert(!b.freshEnough(s, t));
+    assert(!b.isFreshEnough(s, t));
 }
 
 void sessionReadWantsItsToken() {
     Bench b;
     Store& s = b.store("s");
     Transaction& t = b.transaction(recent);
-    t.mustSee = s.position;
-    assert(b.freshEnough(s, t));
-    t.mustSee = s.position + 1;
-    assert(!b.freshEnough(s, t));
+    t.minPosition = s.position;
+    assert(b.isFreshEnough(s, t));
+    t.minPosition = s.position + 1;
+    assert(!b.isFreshEnough(s, t));
 }
 
 // An older position told late takes nothing back.
 void positionsOnlyGrow() {
     Bench b;
     Store& s = b.store("s");
-    const Nanos before = s.position;
-    b.front.reported("s", before - millis(50), {});
+    const Nanoseconds before = s.position;
+    b.front.storeReported("s", before - milliseconds(50), {});
     assert(s.position == before);
-    b.front.reported("s", before + millis(50), {});
-    assert(s.position == before + millis(50));
+    b.front.storeReported("s", before + milliseconds(50), {});
+    assert(s.position == before + milliseconds(50));
 }
 
 // Step 3: no replica is fresh enough, so the primary is read, unless an answer has called it a replica.
@@ -40,24 +40,24 @@
     Store& p = b.primary("p");
     b.store("s", Pool::premium).position = 0;
     const Transaction& t = b.transaction(look);
-    assert(b.pick(t) == &p);
-    p.toldReplica = true;
-    assert(b.pick(t) == nullptr);
+    assert(b.selectStore(t) == &p);
+    p.saysReplica = true;
+    assert(b.selectStore(t) == nullptr);
 }
 
 // Where stores check: the least-behind replica that may catch up, and none that surely misses (i717714).
 void triesOnlyWhatMayCatchUp() {
-    Charter c = charter();
-    c.storesCheck = true;
-    c.catchUpWait = millis(100);
+    RoutingConfig c = charter();
+    c.storesCheckFreshness = true;
+    c.catchUpTimeout = milliseconds(100);
     Bench b(c);
     Store& p = b.primary("p");
     Store& near = b.store("n", Pool::premium);
     const Transaction& t = b.transaction(look);
-    near.position = b.now - millis(350);
-    assert(b.pick(t) == &near);
-    near.position = b.now - millis(450);
-    assert(b.pick(t) == &p);
+    near.position = b.now - milliseconds(350);
+    assert(b.selectStore(t) == &near);
+    near.position = b.now - milliseconds(450);
+    assert(b.selectStore(t) == &p);
 }
 
 // Probes: when the position is older than half the bound and nothing has renewed it; laggards less often.
@@ -70,8 +70,8 @@
     assert(b.probeIsDue(s));
     s.probedAt = b.now;
     assert(!b.probeIsDue(s));
-    s.position = b.now - millis(4000);
-    s.positionTold = b.now;
+    s.position = b.now - milliseconds(4000);
+    s.positionUpdatedAt = b.now;
     b.pass(999);
     assert(!b.probeIsDue(s));
     b.pass(2);
@@ -83,37 +83,38 @@
 void longReadsGoToTheFirst() {
     Bench b;
     Store& first = b.store("a", Pool::freemium);
-    b.store("b", Pool::premium).position -= millis(2000);
-    assert(b.pick(b.transaction(report)) == &first);
+    b.store("b", Pool::premium).position -= milliseconds(2000);
+    assert(b.selectStore(b.transaction(report)) == &first);
 }
 
 // A mark kept for a session binds its next read.
 void keepsTheMarksOfSessions() {
-    Charter c = charter();
-    c.marksKept = true;
+    RoutingConfig c = charter();
+    c.sessionWritesTracked = true;
     Bench b(c);
     Store& p = b.primary("p");
     Transaction& t = b.transaction(pay);
     t.user = "u";
-    b.launch(t, p);
-    b.front.ended("t", 0, "p", Ending::delivered, millis(20), Role::primary, b.now + millis(3), true);
+    b.startAttempt(t, p);
+    b.front.attemptEnded("t", 0, "p", AttemptOutcome::succeeded, milliseconds(20), Role::primary,
+                         b.now + milliseconds(3), true);
     b.pass(10);
-    b.front.take("r", recent, "u", millis(900), 0, {});
+    b.front.submit("r", recent, "u", milliseconds(900), 0, {});
     assert(b.launchedTo("r", "p"));
     Store& s = b.store("s", Pool::freemium);
-    s.position = b.now - millis(8);
-    b.front.take("q", recent, "u", millis(900), 0, {});
+    s.position = b.now - milliseconds(8);
+    b.front.submit("q", recent, "u", milliseconds(900), 0, {});
     assert(b.launchedTo("q", "p"));
     s.position = b.now;
-    b.front.take("v", recent, "u", millis(900), 0, {});
+    b.front.submit("v", recent, "u", milliseconds(900), 0, {});
     assert(b.launchedTo("v", "s"));
 }
 
 // The marks of sessions are bounded: of 50,000 sessions with a write each, at most two generations of 20,000
 // are kept, and a session whose mark was let go asks for no less than it had.
 void marksOfSessionsAreBounded() {
-    Charter c = charter();
-    c.marksKept = true;
+    RoutingConfig c = charter();
+    c.sessionWritesTracked = true;
     Bench b(c);
     Store& p = b.primary("p");
     p.window = 1e9;
@@ -121,18 +122,19 @@
         const std::string id = "w" + std::to_string(i);
         Transaction& t = b.transaction(pay, id);
         t.user = "u" + std::to_string(i);
-        b.launch(t, p);
-        b.front.ended(id, 0, "p", Ending::delivered, millis(1), Role::primary, b.now + i, true);
+        b.startAttempt(t, p);
+        b.front.attemptEnded(id, 0, "p", AttemptOutcome::succeeded, milliseconds(1), Role::primary, b.now + i,
+                             true);
     }
     const auto [newer, older] = b.marks();
     assert(newer <= 20'000 && older <= 20'000 && newer + older >= 20'000);
-    b.front.take("r", recent, "u0", millis(900), 0, {});
+    b.front.submit("r", recent, "u0", milliseconds(900), 0, {});
     assert(!b.known("r") || b.mustSee("r") >= b.now);
     // Marks of both generations kept are each session's own.
-    b.store("s", Pool::freemium).position = b.now - millis(1000);
+    b.store("s", Pool::freemium).position = b.now - milliseconds(1000);
     for (const int user : {25'000, 45'000}) {
         const std::string id = "r" + std::to_string(user);
-        b.front.take(id, recent, "u" + std::to_string(user), millis(900), 0, {});
+        b.front.submit(id, recent, "u" + std::to_string(user), milliseconds(900), 0, {});
         assert(b.mustSee(id) == b.now + user);
     }
 }
@@ -144,26 +146,26 @@
     Store& s = b.store("s", Pool::premium);
     b.pass(5000);
     const Transaction& t = b.transaction(look);
-    assert(b.pick(t) == nullptr && b.notes.count("probe s") == 1);
-    b.front.reported("s", b.now - millis(100), {});
-    assert(b.pick(t) == &s);
+    assert(b.selectStore(t) == nullptr && b.notes.count("probe s") == 1);
+    b.front.storeReported("s", b.now - milliseconds(100), {});
+    assert(b.selectStore(t) == &s);
     b.pass(5000);
     const Transaction& later = b.transaction(look, "later");
-    assert(b.pick(later) == nullptr);
+    assert(b.selectStore(later) == nullptr);
     b.pass(41);
-    assert(b.pick(later) == &p);
+    assert(b.selectStore(later) == &p);
 }
 
 // Where stores check, a replica that was never asked is read at once, and one a second is asked as well.
 void unknownReplicaIsTriedWhereStoresCheck() {
-    Charter c = charter();
-    c.storesCheck = true;
+    RoutingConfig c = charter();
+    c.storesCheckFreshness = true;
     Bench b(c);
     b.primary("p");
     Store& s = b.store("s", Pool::premium);
-    s.position = -1, s.positionTold = 0;
+    s.position = -1, s.positionUpdatedAt = 0;
     for (int i = 0; i < 2; ++i, s.probing = false, b.pass(500))
-        assert(b.pick(b.transaction(look)) == &s && b.notes.count("probe s") == 1);
+        assert(b.selectStore(b.transaction(look)) == &s && b.notes.count("probe s") == 1);
 }
 
 int main() {
--- a/tests/guards.cpp
+++ b/tests/guards.cpp
@@ -16,7 +16,7 @@
 
 // Front 0 of `count`; the others are played by the test.
 struct Lone final : tier::Outlet {
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     std::vector<std::pair<int, Said>> sent;
     std::vector<std::string> lines;
     std::vector<std::uint32_t> nth;
@@ -33,28 +33,28 @@
     void log(const std::string& line) override { lines.push_back(line); }
 
     // What a process of `from` says that started `age` ago.
-    bool say(int from, std::vector<Fact> facts = {}, Nanos age = millis(50'000), std::uint32_t birth = 0,
-             std::uint32_t incarnation = 1) {
+    bool say(int from, std::vector<Fact> facts = {}, Nanoseconds age = milliseconds(50'000),
+             std::uint32_t birth = 0, std::uint32_t incarnation = 1) {
         Said said;
         said.birth = birth ? birth : static_cast<std::uint32_t>(100 + from);
         said.incarnation = incarnation;
-        said.age = age + now - millis(1'000'000);
+        said.age = age + now - milliseconds(1'000'000);
         said.members = members.count();
         said.nth = ++nth[static_cast<std::size_t>(from)];
         said.facts = std::move(facts);
         return members.heard(now, from, said);
     }
     // Time passes with its own clockwork; `answering` members answer its probes.
-    void pass(Nanos time, const std::function<bool(int)>& answering) {
-        for (const Nanos end = now + time; now < end;) {
-            now = std::min(end, std::max(now + millis(1), members.next()));
+    void pass(Nanoseconds time, const std::function<bool(int)>& answering) {
+        for (const Nanoseconds end = now + time; now < end;) {
+            now = std::min(end, std::max(now + milliseconds(1), members.next()));
             members.tick(now);
             for (const auto& [to, what] : std::exchange(sent, {})) {
                 if (!what.probe || !answering(to)) continue;
                 Said said;
                 said.birth = static_cast<std::uint32_t>(100 + to);
                 said.incarnation = 1;
-                said.age = millis(50'000) + now - millis(1'000'000);
+                said.age = milliseconds(50'000) + now - milliseconds(1'000'000);
                 said.members = members.count();
                 said.nth = ++nth[static_cast<std::size_t>(to)];
                 said.answer = what.probe;
@@ -93,11 +93,11 @@
     lone.say(2);
     lone.say(1, {{2, State::suspect, 1, 1}});
     for (int i = 0; i < 100; ++i) {
-        lone.pass(millis(400), [](int to) { return to == 1; });
+        lone.pass(milliseconds(400), [](int to) { return to == 1; });
         lone.say(2);
         assert(lone.state(2) == State::suspect);
     }
-    lone.pass(millis(30'000), [](int to) { return to == 1; });
+    lone.pass(milliseconds(30'000), [](int to) { return to == 1; });
     assert(lone.state(2) == State::gone);
 }
 
@@ -112,7 +112,7 @@
         }
         lone.say(2);
         lone.say(1, {{2, State::suspect, 1, 1}});
-        lone.pass(millis(60'000), [](int to) { return to == 1; });
+        lone.pass(milliseconds(60'000), [](int to) { return to == 1; });
         assert(lone.state(2) == State::gone);
         for (const std::string& line : lone.lines)
             if (const auto at = line.find("none of "); at != std::string::npos)
@@ -127,12 +127,12 @@
     lone.say(1);
     lone.say(2);
     lone.say(1, {{2, State::suspect, 1, 1}});
-    const Nanos verdict = lone.members.member(2).verdictAt;
-    lone.now += millis(10'000);
+    const Nanoseconds verdict = lone.members.member(2).verdictAt;
+    lone.now += milliseconds(10'000);
     lone.members.tick(lone.now);
-    assert(lone.members.doubt() == 8 && lone.members.member(2).verdictAt > verdict + millis(9'000));
+    assert(lone.members.doubt() == 8 && lone.members.member(2).verdictAt > verdict + milliseconds(9'000));
     lone.sent.clear();
-    lone.now += millis(10);
+    lone.now += milliseconds(10);
     lone.members.tick(lone.now);
     for (const auto& [to, what] : lone.sent) assert(what.about < 0);  // no helper is asked for what it missed
 }
@@ -141,8 +141,8 @@
 void keepsQuietWhileAlone() {
     Lone lone(4);
     for (int i = 1; i < 4; ++i) lone.say(i);
-    lone.pass(millis(3'000), [](int) { return true; });
-    lone.pass(millis(60'000), nobody);
+    lone.pass(milliseconds(3'000), [](int) { return true; });
+    lone.pass(milliseconds(60'000), nobody);
     assert(lone.state(1) == State::gone && lone.state(2) == State::gone && lone.state(3) == State::gone);
     for (const Fact& fact : lone.told) assert(fact.state != State::gone);
 }
@@ -151,54 +151,56 @@
 void dropsWhatWasHeld() {
     Lone lone(3);
     assert(lone.say(1));
-    lone.now += millis(30'000);
+    lone.now += milliseconds(30'000);
     assert(lone.say(1));
-    const Nanos late = millis(50'000) - millis(6'000), sleepy = millis(50'000) - millis(300'000);
+    const Nanoseconds late = milliseconds(50'000) - milliseconds(6'000),
+                      sleepy = milliseconds(50'000) - milliseconds(300'000);
     assert(!lone.say(1, {{2, State::suspect, 9, 1}}, late) && lone.state(2) == State::gone);
-    assert(lone.say(1, {}, millis(50'000) - millis(3'000)));
+    assert(lone.say(1, {}, milliseconds(50'000) - milliseconds(3'000)));
     // The machine slept for five minutes.
-    lone.now += millis(300'000);
+    lone.now += milliseconds(300'000);
     int believed = 0;
     for (int i = 0; i < 40; ++i) {
-        lone.now += millis(500);
+        lone.now += milliseconds(500);
         believed += lone.say(1, {}, sleepy);
         assert(believed == 0 || i >= 19);
     }
     assert(believed >= 15);
 }
 
-// A process that started before the one that is known: let go together, what it once said proves nothing; twice
-// over time shows that it lives, and both are told. What it said long ago does not.
+// A process that started before the one that is known: let go together, what it once said proves nothing;
+// twice over time shows that it lives, and both are told. What it said long ago does not.
 void tellsTwinsFromTheDead() {
     Lone lone(3);
-    lone.say(1, {}, millis(50'000), 5);
-    lone.now += millis(20'000);
-    lone.say(1, {}, millis(-15'000), 6);  // a successor, five seconds old
-    lone.now += millis(1'000);
+    lone.say(1, {}, milliseconds(50'000), 5);
+    lone.now += milliseconds(20'000);
+    lone.say(1, {}, milliseconds(-15'000), 6);  // a successor, five seconds old
+    lone.now += milliseconds(1'000);
     lone.sent.clear();
     const auto told = [&] {
         for (const auto& [to, what] : lone.sent)
             if (what.twins) return to == 1 && what.twins->younger == 6 && what.twins->elder == 5;
         return false;
     };
-    assert(!lone.say(1, {}, millis(50'000) - millis(12'000), 5) && !lone.say(1, {}, millis(50'000), 5) && !told());
-    lone.now += millis(3'000);
-    assert(!lone.say(1, {}, millis(50'000) - millis(12'000), 5) && !told());
-    assert(!lone.say(1, {}, millis(50'000), 5) && told());
-    assert(lone.say(1, {}, millis(-15'000), 6));
+    assert(!lone.say(1, {}, milliseconds(50'000) - milliseconds(12'000), 5) &&
+           !lone.say(1, {}, milliseconds(50'000), 5) && !told());
+    lone.now += milliseconds(3'000);
+    assert(!lone.say(1, {}, milliseconds(50'000) - milliseconds(12'000), 5) && !told());
+    assert(!lone.say(1, {}, milliseconds(50'000), 5) && told());
+    assert(lone.say(1, {}, milliseconds(-15'000), 6));
 }
 
 // Killed and started again at once: the successor is heard, whatever the two births.
 void hearsAQuickSuccessor() {
     for (const std::uint32_t birth : {3u, 9u}) {
         Lone lone(3);
-        lone.now += millis(60'000);
-        const Nanos started = millis(-60'000) + millis(30);
+        lone.now += milliseconds(60'000);
+        const Nanoseconds started = milliseconds(-60'000) + milliseconds(30);
         assert(lone.say(1, {}, started, 5));
-        lone.now += millis(90);
-        assert(lone.say(1, {}, started - millis(80), birth));
-        lone.now += millis(500);
-        assert(lone.say(1, {}, started - millis(80), birth) && lone.members.member(1).birth == birth);
+        lone.now += milliseconds(90);
+        assert(lone.say(1, {}, started - milliseconds(80), birth));
+        lone.now += milliseconds(500);
+        assert(lone.say(1, {}, started - milliseconds(80), birth) && lone.members.member(1).birth == birth);
     }
 }
 
@@ -206,19 +208,19 @@
 void fallsSilentForItsSuccessor() {
     Lone lone(3);
     lone.say(1);
-    lone.now += millis(60'000);
+    lone.now += milliseconds(60'000);
     Said said;
     said.birth = 101;
-    said.age = millis(110'000);
+    said.age = milliseconds(110'000);
     said.members = 3;
-    said.twins = tier::Twins{88, 77, millis(90'000)};  // older than this one: not a successor
+    said.twins = tier::Twins{88, 77, milliseconds(90'000)};  // older than this one: not a successor
     lone.members.heard(lone.now, 1, said);
     assert(!lone.members.silenced());
-    said.twins->youngerAge = millis(2'000);
+    said.twins->youngerAge = milliseconds(2'000);
     lone.members.heard(lone.now, 1, said);
     assert(lone.members.silenced() && lone.members.sight(lone.now) == tier::Sight::alone);
     lone.sent.clear();
-    lone.now += millis(5'000);
+    lone.now += milliseconds(5'000);
     lone.members.tick(lone.now);
     lone.members.leave(lone.now);
     assert(lone.sent.empty());
--- a/tests/input.cpp
+++ b/tests/input.cpp
@@ -102,12 +102,12 @@
 }
 
 void reports() {
-    const Nanos now = millis(1'767'225'600'000);
-    const Report good = readReport("inflight=7,x0=1767225599.5,x1=1", now);
-    assert(good.position == now - millis(500) && good.primary == true);
+    const Nanoseconds now = milliseconds(1'767'225'600'000);
+    const StoreReport good = readReport("inflight=7,x0=1767225599.5,x1=1", now);
+    assert(good.position == now - milliseconds(500) && good.primary == true);
     for (const char* wrong : {"", "x0", "x0=", "x0=inf,x1=nan", "x0=-1", "x0=1e300", "x0=1767225700", "=,=,,",
                               "x0=1767225599,x1=?", "x1=1,x0=1767225700", "x0=1767225599,\xff"}) {
-        const Report report = readReport(wrong, now);
+        const StoreReport report = readReport(wrong, now);
         assert(!report.position && !report.primary);
     }
 }
--- a/tests/launch.cpp
+++ b/tests/launch.cpp
@@ -7,8 +7,8 @@
     Bench b;
     Store& a = b.store("a", Pool::premium);
     b.store("c", Pool::premium);
-    b.launch(b.transaction(look), a);
-    b.end("t", 0, a, Ending::unreachable);
+    b.startAttempt(b.transaction(look), a);
+    b.end("t", 0, a, AttemptOutcome::unreachable);
     assert(b.launchedTo("t", "c"));
 }
 
@@ -16,11 +16,11 @@
 void refusedWriteWaits() {
     Bench b;
     Store& p = b.primary("p");
-    b.launch(b.transaction(pay), p);
-    b.end("t", 0, p, Ending::full);
-    assert(b.known("t") && b.group.held.size() == 1);
+    b.startAttempt(b.transaction(pay), p);
+    b.end("t", 0, p, AttemptOutcome::overloaded);
+    assert(b.known("t") && b.group.queue.size() == 1);
     b.pass(200);
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("launch t p") == 2);
 }
 
@@ -29,70 +29,70 @@
     Bench b;
     Store& a = b.store("a");
     a.role = Role::replica;
-    a.roleHeard = b.now;
+    a.roleUpdatedAt = b.now;
     Transaction& t = b.transaction(pay);
     b.route(t);
-    assert(t.launches == 0 && b.group.held.size() == 1);
+    assert(t.attempts == 0 && b.group.queue.size() == 1);
     b.pass(20);
-    b.tellRole(a, Role::primary, b.now, true);
-    b.front.woke(0);
+    b.updateRole(a, Role::primary, b.now, true);
+    b.front.timerFired(0);
     assert(b.launchedTo("t", "a"));
 }
 
 // Nobody to ask at all: the transaction is held, and answered before its client's time is up.
 void emptyGroupIsAnsweredInTime() {
     Bench b;
-    b.front.take("t", look, "", millis(900), 5, {});
+    b.front.submit("t", look, "", milliseconds(900), 5, {});
     for (int i = 0; i < 50 && b.known("t"); ++i) {
         b.pass(20);
-        b.front.woke(0);
+        b.front.timerFired(0);
     }
-    assert(b.notes.lines.back() == "nack t" && b.now < millis(1'000'900));
+    assert(b.notes.lines.back() == "nack t" && b.now < milliseconds(1'000'900));
 }
 
 // No primary for a long time: a write that never ran is nacked in time, with launches to spare.
 void longWithoutAPrimary() {
     Bench b;
     b.store("a");
-    b.front.take("t", pay, "", millis(1900), 0, {});
-    for (int no = 0; b.known("t"); b.pass(20), b.front.woke(0))
+    b.front.submit("t", pay, "", milliseconds(1900), 0, {});
+    for (int no = 0; b.known("t"); b.pass(20), b.front.timerFired(0))
         if (b.notes.count("launch") > no)
-            b.end("t", no++, *b.group.members[0], Ending::missed, Role::replica);
-    assert(b.notes.count("nack t") == 1 && b.notes.count("launch") < 4 && b.now < millis(1'001'900));
+            b.end("t", no++, *b.group.members[0], AttemptOutcome::notEligible, Role::replica);
+    assert(b.notes.count("nack t") == 1 && b.notes.count("launch") < 4 && b.now < milliseconds(1'001'900));
 }
 
 // A try with unusual patience is a repeat: its goal time ran from the first try (i96527c).
 void repeatsAreToldByTheirPatience() {
     Bench b;
-    for (int i = 0; i < 20; ++i) assert(b.alreadyWaited(look, millis(700) + i * 100'000) == 0);
-    assert(b.alreadyWaited(look, millis(500)) == millis(500));
-    assert(b.alreadyWaited(look, millis(700)) == 0);
+    for (int i = 0; i < 20; ++i) assert(b.alreadyWaited(look, milliseconds(700) + i * 100'000) == 0);
+    assert(b.alreadyWaited(look, milliseconds(500)) == milliseconds(500));
+    assert(b.alreadyWaited(look, milliseconds(700)) == 0);
 }
 
 void varyingPatienceTellsNothing() {
     Bench b;
-    for (int i = 0; i < 40; ++i) assert(b.alreadyWaited(look, millis(100 + 21 * i)) == 0);
+    for (int i = 0; i < 40; ++i) assert(b.alreadyWaited(look, milliseconds(100 + 21 * i)) == 0);
 }
 
 // Held transactions go by the gain to be expected: one with little time left gives way.
 void expectedGainFallsWithTime() {
     Bench b;
     const Transaction& t = b.transaction(look);
-    const double fresh = b.gainNow(t);
+    const double fresh = b.valueRate(t);
     b.pass(350);
-    assert(b.gainNow(t) < 0.6 * fresh);
-    assert(b.gainNow(b.transaction(recent, "r")) < fresh);
+    assert(b.valueRate(t) < 0.6 * fresh);
+    assert(b.valueRate(b.transaction(recent, "r")) < fresh);
 }
 
 // The client has left: launches are called off, nothing more is sent.
 void lapsedIsForgotten() {
     Bench b;
     Store& a = b.store("a", Pool::premium);
-    b.launch(b.transaction(look), a);
-    b.front.lapsed("t");
+    b.startAttempt(b.transaction(look), a);
+    b.front.abandon("t");
     assert(!b.known("t") && b.notes.lines.back() == "cancel t 0");
-    b.end("t", 0, a, Ending::cancelled);
-    assert(a.out.empty() && a.load[0] == 0);
+    b.end("t", 0, a, AttemptOutcome::cancelled);
+    assert(a.attempts.empty() && a.reads[0] == 0);
 }
 
 // What has reached no store is told so by half of its time, once its goal time has passed; what was turned
@@ -100,15 +100,15 @@
 void waitsInVainForHalfItsTime() {
     for (const bool reached : {false, true}) {
         Bench b;
-        b.primary("p").awaySince = b.now;
+        b.primary("p").unreachableSince = b.now;
         Transaction& t = b.transaction(pay);
-        t.arrivedThere = reached;
+        t.maybeReached = reached;
         b.route(t);
         b.pass(900);
-        b.front.woke(0);
+        b.front.timerFired(0);
         assert(b.known("t"));
         b.pass(80);
-        b.front.woke(0);
+        b.front.timerFired(0);
         assert(b.known("t") == reached && b.notes.count("nack t") == !reached);
     }
 }
@@ -117,25 +117,26 @@
 void overtakenLaunchStays() {
     Bench b;
     Store& a = b.store("a", Pool::premium);
-    b.launch(b.transaction(look), a);
-    assert(b.front.mayStillGo("t", "a") && !b.front.mayStillGo("u", "a") && !b.front.mayStillGo("t", "b"));
+    b.startAttempt(b.transaction(look), a);
+    assert(b.front.mayStillSend("t", "a") && !b.front.mayStillSend("u", "a") &&
+           !b.front.mayStillSend("t", "b"));
     b.pass(301);
-    assert(!b.front.mayStillGo("t", "a"));
+    assert(!b.front.mayStillSend("t", "a"));
     a.position = b.now;
-    assert(b.front.mayStillGo("t", "a"));
-    a.standing = Standing::draining;
-    assert(!b.front.mayStillGo("t", "a"));
+    assert(b.front.mayStillSend("t", "a"));
+    a.state = StoreState::draining;
+    assert(!b.front.mayStillSend("t", "a"));
 }
 
 // A front that ends gives every answer: a nack only where that is harmless.
 void givesUpAtTheEnd() {
     Bench b;
     Store& p = b.primary("p");
-    b.launch(b.transaction(pay, "t"), p);
-    b.front.giveUp("t");
+    b.startAttempt(b.transaction(pay, "t"), p);
+    b.front.finishNow("t");
     b.route(b.transaction(look, "u"));
-    b.front.giveUp("u");
-    b.front.giveUp("unknown");
+    b.front.finishNow("u");
+    b.front.finishNow("unknown");
     assert(b.notes.count("write off t") == 1 && b.notes.count("nack u") == 1 && !b.known("t") &&
            !b.known("u"));
 }
--- a/tests/letter.cpp
+++ b/tests/letter.cpp
@@ -1,11 +1,12 @@
 // Datagrams between fronts: what is written is read again, and nothing else is believed.
 #undef NDEBUG
+#include "tier/letter.hpp"
+
 #include <rapidcheck.h>
 
 #include <cassert>
 #include <cstdlib>
 
-#include "tier/letter.hpp"
 #include "tier/tier.pb.h"
 
 using namespace granitereel;
@@ -17,7 +18,7 @@
     tier::Said said;
     said.birth = *rc::gen::inRange<std::uint32_t>(1, UINT32_MAX);
     said.incarnation = *rc::gen::arbitrary<std::uint32_t>();
-    said.age = millis(*rc::gen::inRange<std::int64_t>(0, 1ll << 40));
+    said.age = milliseconds(*rc::gen::inRange<std::int64_t>(0, 1ll << 40));
     said.members = *rc::gen::inRange(1, 1001);
     said.nth = *rc::gen::arbitrary<std::uint32_t>();
     said.digest = *rc::gen::arbitrary<std::uint32_t>();
@@ -89,7 +90,8 @@
     assert(tier::read(bytes, "a", 1, 3).flaw == Flaw::checksum);
 }
 
-// Versions one apart read each other while the newer says that the older may; fields that are new are passed over.
+// Versions one apart read each other while the newer says that the older may; fields that are new are passed
+// over.
 void readsItsNeighbours() {
     tier::wire::Letter letter;
     letter.set_birth(3);
--- a/tests/list.cpp
+++ b/tests/list.cpp
@@ -8,69 +8,70 @@
     Store& a = b.store("a");
     Store& z = b.store("z");
     b.front.listBegins(false);
-    b.front.listEntry("a", 0, 0, Standing::up, 0, false);
+    b.front.listEntry("a", 0, 0, StoreState::up, 0, false);
     b.front.listEnds();
-    assert(z.standing == Standing::up);
+    assert(z.state == StoreState::up);
     b.front.listBegins(true);
-    b.front.listEntry("a", 0, 0, Standing::up, 0, false);
+    b.front.listEntry("a", 0, 0, StoreState::up, 0, false);
     b.front.listEnds();
-    assert(a.standing == Standing::up && z.standing == Standing::removed);
+    assert(a.state == StoreState::up && z.state == StoreState::removed);
 }
 
 // A store that the list took out is forgotten in time, one that still works or is back is not.
 void forgetsWhatIsGone() {
     Bench b;
     for (const char* id : {"a", "b", "c", "d"}) b.store(id);
-    b.launch(b.transaction(look), *b.group.members[1]);
-    auto list = [&](const char* id, Standing standing) {
+    b.startAttempt(b.transaction(look), *b.group.members[1]);
+    auto list = [&](const char* id, StoreState standing) {
         b.front.listBegins(false);
         b.front.listEntry(id, 0, 0, standing, 0, false);
         b.front.listEnds();
     };
-    for (const char* id : {"a", "b", "c"}) list(id, Standing::removed);
-    list("c", Standing::up);
+    for (const char* id : {"a", "b", "c"}) list(id, StoreState::removed);
+    list("c", StoreState::up);
     b.pass(59'000);
-    b.front.woke(0);
-    assert(b.front.knows("a"));
+    b.front.timerFired(0);
+    assert(b.front.knowsStore("a"));
     b.pass(2'000);
-    b.front.woke(0);
-    assert(!b.front.knows("a") && b.front.knows("b") && b.front.knows("c") && b.front.knows("d"));
+    b.front.timerFired(0);
+    assert(!b.front.knowsStore("a") && b.front.knowsStore("b") && b.front.knowsStore("c") &&
+           b.front.knowsStore("d"));
     assert(b.group.members.size() == 3);
-    b.end("t", 0, *b.group.members[0], Ending::delivered);
+    b.end("t", 0, *b.group.members[0], AttemptOutcome::succeeded);
     b.pass(1'000);
-    b.front.woke(0);
-    assert(!b.front.knows("b"));
+    b.front.timerFired(0);
+    assert(!b.front.knowsStore("b"));
 }
 
 // A list that names a primary is believed only while nothing better is known.
 void listNamesThePrimaryOnlyAtFirst() {
     Bench b;
     b.front.listBegins(true);
-    b.front.listEntry("a", 0, 0, Standing::up, 0, true);
+    b.front.listEntry("a", 0, 0, StoreState::up, 0, true);
     b.front.listEnds();
     assert(b.group.primary && b.group.primary->id == "a");
     b.front.listBegins(false);
-    b.front.listEntry("b", 0, 0, Standing::up, 0, true);
+    b.front.listEntry("b", 0, 0, StoreState::up, 0, true);
     b.front.listEnds();
     assert(b.group.primary->id == "a");
 }
 
 // Rule 3: the list is asked at once, again well before silence counts as told, and soon after a failure.
 void keepsAskingTheList() {
-    Charter c = charter();
-    c.mustAsk = true;
+    RoutingConfig c = charter();
+    c.listMustBeRequested = true;
     Bench b(c);
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("follow") == 1);
     b.pass(6980);
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("follow") == 1);
     b.pass(20);
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("follow") == 2);
     b.front.listFailed();
     b.pass(1500);
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("follow") == 3);
 }
 
@@ -79,7 +80,7 @@
     Bench b;
     b.primary("p");
     b.front.listBegins(false);
-    b.front.listEntry("p", 0, 0, Standing::draining, 0, true);
+    b.front.listEntry("p", 0, 0, StoreState::draining, 0, true);
     b.front.listEnds();
     assert(!b.group.primary);
 }
@@ -89,10 +90,10 @@
     Bench b;
     Store& p = b.primary("p");
     Store& s = b.store("s");
-    b.front.reported("s", b.now - millis(500), true);
+    b.front.storeReported("s", b.now - milliseconds(500), true);
     assert(b.group.primary == &p);
     b.pass(100);
-    b.front.reported("s", b.now - millis(10), true);
+    b.front.storeReported("s", b.now - milliseconds(10), true);
     assert(b.group.primary == &s);
 }
 
@@ -102,15 +103,15 @@
     Bench b;
     Store& p = b.primary("p");
     b.pass(10);
-    b.tellRole(p, Role::replica, b.now, true);
+    b.updateRole(p, Role::replica, b.now, true);
     assert(!b.group.primary);
     b.pass(100);
-    b.tellRole(p, Role::primary, b.now, true);
+    b.updateRole(p, Role::primary, b.now, true);
     assert(!b.group.primary);
     Store& s = b.store("s");
-    b.tellRole(s, Role::replica, b.now, true);
+    b.updateRole(s, Role::replica, b.now, true);
     b.pass(10);
-    b.tellRole(s, Role::primary, b.now, true);
+    b.updateRole(s, Role::primary, b.now, true);
     assert(b.group.primary == &s);
 }
 
@@ -120,48 +121,48 @@
     Store& a = b.store("a");
     Store& c = b.store("c");
     Transaction& t = b.transaction(pay);
-    assert(b.pick(t) == &a);
+    assert(b.selectStore(t) == &a);
     a.role = Role::replica;
-    a.roleHeard = b.now;
-    assert(b.pick(t) == &c);
+    a.roleUpdatedAt = b.now;
+    assert(b.selectStore(t) == &c);
     c.role = Role::replica;
-    c.roleHeard = b.now;
-    assert(b.pick(t) == nullptr);
+    c.roleUpdatedAt = b.now;
+    assert(b.selectStore(t) == nullptr);
     b.pass(1000);
-    assert(b.pick(t) == &a);
-    t.launches = 5;
-    assert(b.pick(t) == nullptr);
+    assert(b.selectStore(t) == &a);
+    t.attempts = 5;
+    assert(b.selectStore(t) == nullptr);
 }
 
 // Many fronts seek a lost primary when they need it, and together no more often than a few would.
 void manyFrontsSeekSeldom() {
-    Charter c = charter();
-    c.fronts = 200;
+    RoutingConfig c = charter();
+    c.proxyCount = 200;
     Bench b(c);
     b.store("a").role = Role::replica;
-    b.front.woke(0);
+    b.front.timerFired(0);
     assert(b.notes.count("probe") == 0);
     const Transaction& t = b.transaction(pay);
-    b.pick(t);
+    b.selectStore(t);
     b.group.members[0]->probing = false;
     b.pass(500);
-    b.pick(t);
+    b.selectStore(t);
     assert(b.notes.count("probe") == 1);
     b.pass(101);
-    b.pick(t);
+    b.selectStore(t);
     assert(b.notes.count("probe") == 2);
 }
 
 // A look for the primary costs each member of the group a probe: 300 fronts with a group of ten, where
 // none is known as primary for ten seconds, send it some 300 probes a second in all, not so many to each.
 void seekingCostsTheGroupNotEachMember() {
-    Charter c = charter();
-    c.fronts = 300;
+    RoutingConfig c = charter();
+    c.proxyCount = 300;
     Bench b(c);
     for (int i = 0; i < 10; ++i) b.store("s" + std::to_string(i)).role = Role::replica;
     const Transaction& t = b.transaction(pay);
     for (int step = 0; step < 100; ++step) {
-        b.pick(t);
+        b.selectStore(t);
         for (Store* s : b.group.members) s->probing = false;
         b.pass(100);
     }
@@ -174,10 +175,10 @@
 void answerBeatsAnUntrueReport() {
     Bench b;
     Store& s = b.store("s");
-    b.tellRole(s, Role::replica, b.now, true);
+    b.updateRole(s, Role::replica, b.now, true);
     b.pass(1500);
-    b.front.reported("s", b.now, true);
-    assert(b.group.primary == &s && b.pick(b.transaction(check)) == nullptr);
+    b.front.storeReported("s", b.now, true);
+    assert(b.group.primary == &s && b.selectStore(b.transaction(check)) == nullptr);
 }
 
 int main() {
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,5 +1,5 @@
-// Who is there, in virtual time: many fronts in one thread, failures by seed. TIER_SEEDS and TIER_SIZE widen the
-// search by hand.
+// Who is there, in virtual time: many fronts in one thread, failures by seed. TIER_SEEDS and TIER_SIZE widen
+// the search by hand.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -32,7 +32,7 @@
 }
 
 // Every front sees every other; a bound on the time from nothing.
-void settle(World& world, Nanos within = millis(15'000)) {
+void settle(World& world, Nanoseconds within = milliseconds(15'000)) {
     const bool settled = world.runUntil(within, [&] {
         for (int i = 0; i < world.count(); ++i)
             if (world.up(i) && world.sight(i) != Sight::whole) return false;
@@ -56,7 +56,7 @@
         startAll(world);
         settle(world);
         for (int i = 0; i < count; ++i) assert(static_cast<int>(world.at(i).in(State::here).size()) == count);
-        world.run(world.now() + millis(30'000));
+        world.run(world.now() + milliseconds(30'000));
         assert(world.verdicts.empty());
     }
 }
@@ -69,7 +69,7 @@
         startAll(world);
         settle(world);
         world.kill(1);
-        const bool seen = world.runUntil(millis(30'000), [&] {
+        const bool seen = world.runUntil(milliseconds(30'000), [&] {
             for (int i = 0; i < count; ++i)
                 if (i != 1 && world.at(i).member(1).state != State::gone) return false;
             return true;
@@ -89,14 +89,14 @@
     startAll(world);
     settle(world);
     world.leave(7);
-    const bool told = world.runUntil(millis(1000), [&] {
+    const bool told = world.runUntil(milliseconds(1000), [&] {
         for (int i = 0; i < world.count(); ++i)
             if (world.at(i).member(7).state != State::leaving) return false;
         return true;
     });
     assert(told);
     world.kill(7);
-    world.run(world.now() + millis(30'000));
+    world.run(world.now() + milliseconds(30'000));
     assert(world.verdicts.empty() && world.at(3).in(State::leaving) == std::vector<int>{7});
     world.start(7);
     settle(world);
@@ -116,9 +116,10 @@
             if (before) before(front, line);
             if (line.find(" is suspect") != std::string::npos) accused.insert(std::stoi(line.substr(6)));
         };
-        world.stall(2, millis(10'000));
-        assert(world.runUntil(millis(10'000), [&] { return world.at(0).member(2).state == State::gone; }));
-        world.run(world.now() + millis(10'000));
+        world.stall(2, milliseconds(10'000));
+        assert(
+            world.runUntil(milliseconds(10'000), [&] { return world.at(0).member(2).state == State::gone; }));
+        world.run(world.now() + milliseconds(10'000));
         settle(world);
         assert(accused == std::set<int>{2});
     }
@@ -135,29 +136,29 @@
             world.cut = [part](int from, int to) { return (from < part) != (to < part); };
             const auto settled = [&] {
                 for (int i = 0; i < count; ++i) {
-                    const Sight wanted = part == count / 2                ? Sight::few
-                                         : i >= part                      ? Sight::most
-                                         : part == 1                      ? Sight::alone
-                                                                          : Sight::few;
+                    const Sight wanted = part == count / 2 ? Sight::few
+                                         : i >= part       ? Sight::most
+                                         : part == 1       ? Sight::alone
+                                                           : Sight::few;
                     if (world.sight(i) != wanted) return false;
                 }
                 return true;
             };
-            const bool found = world.runUntil(millis(60'000), settled);
+            const bool found = world.runUntil(milliseconds(60'000), settled);
             assert(found);
-            world.run(world.now() + millis(30'000));
+            world.run(world.now() + milliseconds(30'000));
             assert(settled());
             world.cut = nullptr;
-            const Nanos healed = world.now();
-            settle(world, millis(20'000));
+            const Nanoseconds healed = world.now();
+            settle(world, milliseconds(20'000));
             if (std::getenv("TRACE"))
                 std::printf("%d fronts, %d cut off: equal %.1f s after\n", count, part,
                             double(world.now() - healed) / 1e9);
         }
 }
 
-// A front that hears and is not heard finds that out before anyone's verdict, as does one that is heard and does
-// not hear.
+// A front that hears and is not heard finds that out before anyone's verdict, as does one that is heard and
+// does not hear.
 void cutsOneWay() {
     for (const bool deaf : {false, true}) {
         World world(9, 8);
@@ -165,15 +166,17 @@
         startAll(world);
         settle(world);
         world.cut = [deaf](int from, int to) { return deaf ? to == 4 : from == 4; };
-        const bool knows = world.runUntil(millis(6'000), [&] { return world.sight(4) == Sight::alone; });
+        const bool knows =
+            world.runUntil(milliseconds(6'000), [&] { return world.sight(4) == Sight::alone; });
         assert(knows && world.at(4).in(State::gone).empty());
-        assert(world.runUntil(millis(30'000), [&] { return world.at(0).member(4).state == State::gone; }));
-        world.run(world.now() + millis(60'000));
+        assert(
+            world.runUntil(milliseconds(30'000), [&] { return world.at(0).member(4).state == State::gone; }));
+        world.run(world.now() + milliseconds(60'000));
         assert(world.sight(4) == Sight::alone);
         for (int i = 0; i < 9; ++i)
             if (i != 4) assert(world.sight(i) == Sight::most && world.at(i).in(State::here).size() == 8);
         world.cut = nullptr;
-        settle(world, millis(20'000));
+        settle(world, milliseconds(20'000));
     }
 }
 
@@ -183,7 +186,7 @@
     startAll(world);
     settle(world);
     world.cut = [](int from, int to) { return (from == 1 && to == 2) || (from == 2 && to == 1); };
-    world.run(world.now() + millis(60'000));
+    world.run(world.now() + milliseconds(60'000));
     assert(world.verdicts.empty());
 }
 
@@ -198,7 +201,7 @@
         startAll(world);
         settle(world);
         world.loss = loss;
-        world.run(world.now() + millis(60'000));
+        world.run(world.now() + milliseconds(60'000));
         if (world.falseVerdicts() > 0)
             std::printf("seed %d: %s\n", seed, world.verdicts.front().line.c_str());
         assert(world.falseVerdicts() == 0);
@@ -214,8 +217,8 @@
     startAll(world);
     settle(world);
     for (int i = 0; i < 60; ++i) {
-        world.stall(5, millis(900));
-        world.run(world.now() + millis(1000));
+        world.stall(5, milliseconds(900));
+        world.run(world.now() + milliseconds(1000));
     }
     for (const auto& each : world.verdicts) assert(each.subject == 5);
     settle(world);
@@ -230,8 +233,8 @@
         settle(world);
         const int dead = count * 7 / 10;
         for (int i = 0; i < dead; ++i) world.kill(i);
-        const Nanos died = world.now();
-        const bool seen = world.runUntil(millis(60'000), [&] {
+        const Nanoseconds died = world.now();
+        const bool seen = world.runUntil(milliseconds(60'000), [&] {
             for (int i = dead; i < count; ++i)
                 if (static_cast<int>(world.at(i).in(State::gone).size()) != dead) return false;
             return true;
@@ -255,13 +258,13 @@
         };
         startAll(world);
         settle(world);
-        world.stall(3, millis(20'000));
-        world.run(world.now() + millis(2000));
+        world.stall(3, milliseconds(20'000));
+        world.run(world.now() + milliseconds(2000));
         world.startBeside(3);
-        world.run(world.now() + millis(10'000));
+        world.run(world.now() + milliseconds(10'000));
         if (othersForget)
             for (const int i : {0, 1, 2, 4, 5}) world.start(i);
-        world.run(world.now() + millis(30'000));
+        world.run(world.now() + milliseconds(30'000));
         assert(world.elder(3)->silenced() && !world.at(3).silenced());
         bool younger = false, elder = false;
         for (const std::string& line : said) {
@@ -283,17 +286,17 @@
     settle(world);
     bool holding = true;
     world.holds = [&](int, int) { return holding && (world.sent % 3) == 0; };
-    world.run(world.now() + millis(3000));
+    world.run(world.now() + milliseconds(3000));
     holding = false;
     world.kill(6);
-    world.run(world.now() + millis(30'000));
+    world.run(world.now() + milliseconds(30'000));
     world.start(2);
-    world.run(world.now() + millis(30'000));
+    world.run(world.now() + milliseconds(30'000));
     assert(world.at(0).member(6).state == State::gone);
     const std::uint32_t before = world.at(0).digest();
     world.verdicts.clear();
     world.letGo();
-    world.run(world.now() + millis(5000));
+    world.run(world.now() + milliseconds(5000));
     assert(world.at(0).digest() == before && world.agree() && world.verdicts.empty());
 }
 
@@ -308,7 +311,7 @@
     settle(world);
     for (int i = 0; i < 4; ++i) {
         world.resizeAt(i, 5);
-        world.run(world.now() + millis(700));
+        world.run(world.now() + milliseconds(700));
     }
     world.kill(5);
     world.resize(5);
@@ -318,14 +321,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    const std::pair<const char*, void (*)()> all[] = {
-        {"startsFromNothing", startsFromNothing}, {"seesADeath", seesADeath},
-        {"leaves", leaves},                       {"stalls", stalls},
-        {"cutsBetweenParts", cutsBetweenParts},   {"cutsOneWay", cutsOneWay},
-        {"cutsOneLink", cutsOneLink},             {"losesHalf", losesHalf},
-        {"accusesSlowly", accusesSlowly},         {"losesSevenInTen", losesSevenInTen},
-        {"tellsTwinsApart", tellsTwinsApart},     {"heedsNothingOld", heedsNothingOld},
-        {"growsAndShrinks", growsAndShrinks}};
+    const std::pair<const char*, void (*)()> all[] = {{"startsFromNothing", startsFromNothing},
+                                                      {"seesADeath", seesADeath},
+                                                      {"leaves", leaves},
+                                                      {"stalls", stalls},
+                                                      {"cutsBetweenParts", cutsBetweenParts},
+                                                      {"cutsOneWay", cutsOneWay},
+                                                      {"cutsOneLink", cutsOneLink},
+                                                      {"losesHalf", losesHalf},
+                                                      {"accusesSlowly", accusesSlowly},
+                                                      {"losesSevenInTen", losesSevenInTen},
+                                                      {"tellsTwinsApart", tellsTwinsApart},
+                                                      {"heedsNothingOld", heedsNothingOld},
+                                                      {"growsAndShrinks", growsAndShrinks}};
     for (const auto& [name, test] : all) {
         if (argc > 1 && std::string(argv[1]) != name) continue;
         std::puts(name);
--- a/tests/owners.cpp
+++ b/tests/owners.cpp
@@ -1,5 +1,5 @@
-// One owner at a time, in virtual time: whatever is lost, late, cut, stalled or started again, no two fronts may act
-// for one key at one moment, and terms go up.
+// One owner at a time, in virtual time: whatever is lost, late, cut, stalled or started again, no two fronts
+// may act for one key at one moment, and terms go up.
 #undef NDEBUG
 #include <rapidcheck.h>
 
@@ -31,24 +31,27 @@
     std::vector<Electors> electors;
     std::vector<std::string> keys;
     std::map<Key, std::pair<std::uint64_t, int>> last;  // the highest term acted under, and by whom
-    std::map<Key, Nanos> ownerless;                     // since when nobody may act
+    std::map<Key, Nanoseconds> ownerless;               // since when nobody may act
     std::vector<double> gaps;                           // seconds without an owner
     int changes = 0;
     std::uint64_t floor = 1000;
     bool greedy = false;  // each front takes every duty for its own
 
     Fleet(int count, std::uint64_t seed, std::vector<std::string> names)
-        : world(count, seed), electors(static_cast<std::size_t>(count), Electors::first(count)), keys(std::move(names)) {
-        world.guests = [this](int front, tier::Members& members, Nanos now, std::uint64_t guestSeed) {
+        : world(count, seed),
+          electors(static_cast<std::size_t>(count), Electors::first(count)),
+          keys(std::move(names)) {
+        world.guests = [this](int front, tier::Members& members, Nanoseconds now, std::uint64_t guestSeed) {
             World::Guests all;
             const auto log = [this, front](const std::string& line) {
                 if (world.onLog) world.onLog(front, "owners: " + line);
             };
             const Electors& list = electors[static_cast<std::size_t>(front)];
-            auto clerk = greedy ? std::make_unique<Clerk>(members, list, terms, floor, guestSeed, now, log,
-                                                          Owners::View{[front] { return std::vector<int>{front}; },
-                                                                       [] { return true; }})
-                                : std::make_unique<Clerk>(members, list, terms, floor, guestSeed, now, log);
+            auto clerk =
+                greedy ? std::make_unique<Clerk>(
+                             members, list, terms, floor, guestSeed, now, log,
+                             Owners::View{[front] { return std::vector<int>{front}; }, [] { return true; }})
+                       : std::make_unique<Clerk>(members, list, terms, floor, guestSeed, now, log);
             for (const std::string& key : keys) clerk->owners().need(keyOf(key), key);
             all.push_back(std::move(clerk));
             return all;
@@ -93,16 +96,16 @@
         }
         return found;
     }
-    void pass(Nanos time, Nanos step = millis(20)) {
-        for (const Nanos end = world.now() + time; world.now() < end;) {
+    void pass(Nanoseconds time, Nanoseconds step = milliseconds(20)) {
+        for (const Nanoseconds end = world.now() + time; world.now() < end;) {
             world.run(std::min(end, world.now() + step));
             for (const std::string& key : keys) owner(key);
         }
     }
     // Passes until each key has an owner.
-    bool owned(Nanos atMost) {
-        for (const Nanos end = world.now() + atMost; world.now() < end;) {
-            pass(millis(20));
+    bool owned(Nanoseconds atMost) {
+        for (const Nanoseconds end = world.now() + atMost; world.now() < end;) {
+            pass(milliseconds(20));
             bool all = true;
             for (const std::string& key : keys) all &= owner(key) >= 0;
             if (all) return true;
@@ -134,15 +137,15 @@
     for (const int count : {1, 2, 3, 5, 30}) {
         Fleet fleet(count, 1, {"work-order", "warm/s-1", "warm/s-2"});
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         if (count < 3) continue;
         const int owner = fleet.owner("work-order");
         fleet.world.kill(owner);
         // A verdict first: the duty is named by the view. Then what is left of the lease.
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         assert(fleet.owner("work-order") != owner);
         fleet.world.start(owner);
-        fleet.pass(millis(30'000));
+        fleet.pass(milliseconds(30'000));
     }
 }
 
@@ -150,18 +153,18 @@
 void handsOn() {
     Fleet fleet(10, 2, {"a", "b", "c", "d", "e"});
     fleet.startAll();
-    assert(fleet.owned(millis(20'000)));
-    fleet.pass(millis(5'000));
+    assert(fleet.owned(milliseconds(20'000)));
+    fleet.pass(milliseconds(5'000));
     for (int n = 0; n < 5; ++n) {
         const int owner = fleet.owner("a");
         fleet.gaps.clear();
         fleet.world.leave(owner);
-        assert(fleet.owned(millis(1'500)));
+        assert(fleet.owned(milliseconds(1'500)));
         fleet.world.kill(owner);
-        fleet.pass(millis(2'000));
+        fleet.pass(milliseconds(2'000));
         fleet.world.start(owner);
-        assert(fleet.owned(millis(20'000)));
-        fleet.pass(millis(25'000));
+        assert(fleet.owned(milliseconds(20'000)));
+        fleet.pass(milliseconds(25'000));
     }
 }
 
@@ -171,18 +174,20 @@
         Fleet fleet(5, seed, {"a"});
         fleet.world.drift = 0.005;
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         const int owner = fleet.owner("a");
         const auto before = fleet.clerk(owner).owners().holds(fleet.world.clockOf(owner), keyOf("a"));
-        fleet.world.stall(owner, millis(15'000));
-        fleet.pass(millis(20'000));
+        fleet.world.stall(owner, milliseconds(15'000));
+        fleet.pass(milliseconds(20'000));
         const int next = fleet.owner("a");
         assert(next >= 0);
         const auto hold = fleet.clerk(next).owners().holds(fleet.world.clockOf(next), keyOf("a"));
-        // What it does late under the old term is refused wherever the new one was seen, and by its end elsewhere.
+        // What it does late under the old term is refused wherever the new one was seen, and by its end
+        // elsewhere.
         Fence fence;
-        fence.note(keyOf("a"), hold->term, next, fleet.world.now() + millis(1000));
-        if (hold->term > before->term) assert(!fence.admits(fleet.world.now(), keyOf("a"), before->term, INT64_MAX));
+        fence.note(keyOf("a"), hold->term, next, fleet.world.now() + milliseconds(1000));
+        if (hold->term > before->term)
+            assert(!fence.admits(fleet.world.now(), keyOf("a"), before->term, INT64_MAX));
         assert(fence.admits(fleet.world.now(), keyOf("a"), hold->term, fleet.world.now() + 1));
         assert(!fence.admits(fleet.world.now(), keyOf("a"), hold->term, fleet.world.now()));
     }
@@ -194,28 +199,29 @@
         Fleet fleet(5, seed, {"a"});
         fleet.greedy = true;
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         const int owner = fleet.owner("a");
         fleet.world.holds = [owner](int, int to) { return to == owner; };
-        fleet.pass(millis(2'000));
+        fleet.pass(milliseconds(2'000));
         fleet.world.letGo();
         fleet.world.cut = [owner](int from, int) { return from == owner; };
-        fleet.pass(millis(15'000), millis(5));
+        fleet.pass(milliseconds(15'000), milliseconds(5));
         assert(fleet.owner("a") >= 0 && fleet.owner("a") != owner);
     }
 }
 
-// Two processes of one name: the successor gets nothing while its elder, stopped meanwhile, may still hold it.
+// Two processes of one name: the successor gets nothing while its elder, stopped meanwhile, may still hold
+// it.
 void keepsTwinsApart() {
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
         Fleet fleet(7, seed, {"a"});
         fleet.greedy = true;
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         const int owner = fleet.owner("a");
-        fleet.world.stall(owner, millis(900));
+        fleet.world.stall(owner, milliseconds(900));
         fleet.world.startBeside(owner);
-        fleet.pass(millis(20'000), millis(5));
+        fleet.pass(milliseconds(20'000), milliseconds(5));
     }
 }
 
@@ -224,19 +230,19 @@
     for (int way = 0; way < 5; ++way) {
         Fleet fleet(7, 6, {"a"});
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         const int owner = fleet.owner("a");
         fleet.world.cut = [way, owner](int from, int to) {
             const int other = from == owner ? to : from;
             if (from != owner && to != owner) return false;
-            return way == 0 || (way == 1 && other < 5) || (way == 2 && other % 2 == 0) || (way == 3 && from == owner) ||
-                   (way == 4 && to == owner);
+            return way == 0 || (way == 1 && other < 5) || (way == 2 && other % 2 == 0) ||
+                   (way == 3 && from == owner) || (way == 4 && to == owner);
         };
-        fleet.pass(millis(30'000));
+        fleet.pass(milliseconds(30'000));
         if (way == 0 || way >= 3) assert(fleet.owner("a") >= 0 && fleet.owner("a") != owner);
         fleet.world.cut = nullptr;
-        assert(fleet.owned(millis(20'000)));
-        fleet.pass(millis(30'000));
+        assert(fleet.owned(milliseconds(20'000)));
+        fleet.pass(milliseconds(30'000));
     }
 }
 
@@ -245,26 +251,27 @@
     for (const int dead : {2, 5}) {
         Fleet fleet(9, 7, {"a", "b"});
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
-        fleet.pass(millis(3'000));
+        assert(fleet.owned(milliseconds(20'000)));
+        fleet.pass(milliseconds(3'000));
         for (int i = 0; i < dead; ++i) {
             fleet.world.start(i);
-            fleet.pass(millis(200));
+            fleet.pass(milliseconds(200));
         }
-        fleet.pass(millis(30'000));
-        assert(fleet.owned(millis(10'000)));
+        fleet.pass(milliseconds(30'000));
+        assert(fleet.owned(milliseconds(10'000)));
     }
 }
 
-// All restart from nothing, with wall clocks set back: whoever asks learns by the refusals, or by who remembers.
+// All restart from nothing, with wall clocks set back: whoever asks learns by the refusals, or by who
+// remembers.
 void goesAboveOldTerms() {
     Fleet fleet(5, 8, {"a"});
     fleet.floor = 5000;
     fleet.startAll();
-    assert(fleet.owned(millis(20'000)));
+    assert(fleet.owned(milliseconds(20'000)));
     fleet.floor = 1;
     for (int i = 0; i < 4; ++i) fleet.world.start(i);  // 4 remembers
-    assert(fleet.owned(millis(30'000)));
+    assert(fleet.owned(milliseconds(30'000)));
     const int owner = fleet.owner("a");
     assert(fleet.clerk(owner).owners().holds(fleet.world.clockOf(owner), keyOf("a"))->term > 5000);
 }
@@ -275,8 +282,8 @@
     for (int i = 0; i < 40; ++i) keys.push_back("warm/s-" + std::to_string(i));
     Fleet fleet(large, 9, keys);
     fleet.startAll();
-    const Nanos began = fleet.world.now();
-    assert(fleet.owned(millis(30'000)));
+    const Nanoseconds began = fleet.world.now();
+    assert(fleet.owned(milliseconds(30'000)));
     if (std::getenv("TRACE")) std::printf("owned after %.1f s\n", double(fleet.world.now() - began) / 1e9);
 }
 
@@ -284,7 +291,7 @@
 void flapsForAnHour() {
     Fleet fleet(5, 10, {"a"});
     fleet.startAll();
-    assert(fleet.owned(millis(20'000)));
+    assert(fleet.owned(milliseconds(20'000)));
     const int owner = fleet.owner("a");
     fleet.changes = 0;
     int beats = 0;
@@ -295,12 +302,12 @@
                 const int other = from == owner ? to : from;
                 return cut && (from == owner || to == owner) && other != (owner + 1) % 5;
             };
-            fleet.pass(millis(6'000), millis(100));
+            fleet.pass(milliseconds(6'000), milliseconds(100));
         }
     if (std::getenv("TRACE")) std::printf("%d changes in an hour\n", fleet.changes);
     assert(fleet.changes <= 900);
     fleet.world.cut = nullptr;
-    assert(fleet.owned(millis(20'000)));
+    assert(fleet.owned(milliseconds(20'000)));
 }
 
 // Fronts that go by other lists grant each other nothing, and say so.
@@ -310,9 +317,11 @@
     fleet.world.onLog = [&](int front, const std::string& line) {
         if (line.find("another list of electors") != std::string::npos) said.insert(front);
     };
-    for (int i = 0; i < 5; ++i) fleet.electors[static_cast<std::size_t>(i)].now = i < 2 ? std::vector<int>{0, 1, 2} : std::vector<int>{2, 3, 4};
+    for (int i = 0; i < 5; ++i)
+        fleet.electors[static_cast<std::size_t>(i)].now =
+            i < 2 ? std::vector<int>{0, 1, 2} : std::vector<int>{2, 3, 4};
     fleet.startAll();
-    fleet.pass(millis(20'000));
+    fleet.pass(milliseconds(20'000));
     const Key key = keyOf("a");
     const int duty = fleet.clerk(0).owners().duty(key);
     assert(said.count(duty) || fleet.owner("a") == duty);
@@ -325,15 +334,15 @@
         const std::vector<int> old{0, 1, 2}, fresh{5, 6, 7};
         for (auto& each : fleet.electors) each.now = old;
         fleet.startAll();
-        assert(fleet.owned(millis(20'000)));
+        assert(fleet.owned(milliseconds(20'000)));
         for (const Electors& step : {Electors{fresh, old}, Electors{fresh, {}}}) {
             for (int i = 0; i < 8; ++i) {
                 const int front = (i * 3 + static_cast<int>(seed)) % 8;
                 fleet.electors[static_cast<std::size_t>(front)] = step;
                 fleet.world.start(front);
-                fleet.pass(millis(1'500));
+                fleet.pass(milliseconds(1'500));
             }
-            assert(fleet.owned(millis(30'000)));
+            assert(fleet.owned(milliseconds(30'000)));
         }
     }
 }
@@ -344,7 +353,7 @@
     for (int i = 0; i < (large == 300 ? 1000 : 200); ++i) keys.push_back("k/" + std::to_string(i));
     Fleet fleet(large / 2, 15, keys);
     fleet.startAll();
-    fleet.world.run(fleet.world.now() + millis(20'000));
+    fleet.world.run(fleet.world.now() + milliseconds(20'000));
     int held = 0, most = 0;
     for (int i = 0; i < fleet.world.count(); ++i) {
         const int n = static_cast<int>(fleet.clerk(i).owners().leases().held(fleet.world.clockOf(i)).size());
@@ -362,12 +371,13 @@
         fleet.world.repeats = 0.05;
         fleet.greedy = *rc::gen::arbitrary<bool>();
         fleet.startAll();
-        fleet.pass(millis(*rc::gen::inRange(0, 8'000)));
+        fleet.pass(milliseconds(*rc::gen::inRange(0, 8'000)));
         for (int step = *rc::gen::inRange(3, 20); step > 0; --step) {
             const int who = *rc::gen::inRange(0, count), what = *rc::gen::inRange(0, 10);
             if (what == 0 && fleet.world.up(who)) fleet.world.kill(who);
             if (what <= 1 && !fleet.world.up(who)) fleet.world.start(who);
-            if (what == 2 && fleet.world.up(who)) fleet.world.stall(who, millis(*rc::gen::inRange(100, 12'000)));
+            if (what == 2 && fleet.world.up(who))
+                fleet.world.stall(who, milliseconds(*rc::gen::inRange(100, 12'000)));
             if (what == 3) {
                 const int part = *rc::gen::inRange(0, 255), oneWay = *rc::gen::inRange(0, 2);
                 fleet.world.cut = [part, oneWay](int from, int to) {
@@ -376,7 +386,7 @@
             }
             if (what == 4) fleet.world.cut = nullptr;
             if (what == 5) fleet.world.loss = *rc::gen::inRange(0, 5) / 10.0;
-            if (what == 6) fleet.world.mostDelay = millis(*rc::gen::inRange(2, 2'000));
+            if (what == 6) fleet.world.mostDelay = milliseconds(*rc::gen::inRange(2, 2'000));
             if (what == 7 && fleet.world.up(who)) fleet.world.leave(who);
             if (what == 8) {
                 const int from = who, part = *rc::gen::inRange(0, 255);
@@ -386,7 +396,7 @@
                 fleet.world.holds = nullptr;
                 fleet.world.letGo();
             }
-            fleet.pass(millis(*rc::gen::inRange(0, 10'000)), millis(5));
+            fleet.pass(milliseconds(*rc::gen::inRange(0, 10'000)), milliseconds(5));
         }
     });
     assert(held);
@@ -396,15 +406,21 @@
 
 int main(int argc, char** argv) {
     ::setenv("RC_PARAMS", "seed=20261201 max_success=200", 0);
-    const std::pair<const char*, void (*)()> all[] = {
-        {"namesDutiesAlike", namesDutiesAlike}, {"followsTheDead", followsTheDead},
-        {"handsOn", handsOn},                   {"stallsAsOwner", stallsAsOwner},
-        {"countsFromItsAsking", countsFromItsAsking}, {"keepsTwinsApart", keepsTwinsApart},
-        {"cutsTheOwner", cutsTheOwner},         {"losesElectors", losesElectors},
-        {"goesAboveOldTerms", goesAboveOldTerms}, {"racesAfterARestart", racesAfterARestart},
-        {"flapsForAnHour", flapsForAnHour},     {"refusesOtherLists", refusesOtherLists},
-        {"changesElectors", changesElectors},   {"holdsManyKeys", holdsManyKeys},
-        {"neverTwoOwners", neverTwoOwners}};
+    const std::pair<const char*, void (*)()> all[] = {{"namesDutiesAlike", namesDutiesAlike},
+                                                      {"followsTheDead", followsTheDead},
+                                                      {"handsOn", handsOn},
+                                                      {"stallsAsOwner", stallsAsOwner},
+                                                      {"countsFromItsAsking", countsFromItsAsking},
+                                                      {"keepsTwinsApart", keepsTwinsApart},
+                                                      {"cutsTheOwner", cutsTheOwner},
+                                                      {"losesElectors", losesElectors},
+                                                      {"goesAboveOldTerms", goesAboveOldTerms},
+                                                      {"racesAfterARestart", racesAfterARestart},
+                                                      {"flapsForAnHour", flapsForAnHour},
+                                                      {"refusesOtherLists", refusesOtherLists},
+                                                      {"changesElectors", changesElectors},
+                                                      {"holdsManyKeys", holdsManyKeys},
+                                                      {"neverTwoOwners", neverTwoOwners}};
     for (const auto& [name, test] : all) {
         if (argc > 1 && std::string(argv[1]) != name) continue;
         std::puts(name);
--- a/tests/properties.cpp
+++ b/tests/properties.cpp
@@ -6,7 +6,7 @@
 #include <cassert>
 #include <cstdlib>
 
-#include "places/places.hpp"
+#include "descriptors/descriptor_budget.hpp"
 #include "tls/pace.hpp"
 #include "tls/tickets.hpp"
 
@@ -22,68 +22,68 @@
 // count, and no more are admitted than there are places.
 void places() {
     const int descriptors = *rc::gen::element(64, 100, 256, 384, 1024);
-    Places places(static_cast<std::size_t>(descriptors));
+    DescriptorBudget places(static_cast<std::size_t>(descriptors));
     struct Guest {
         bool asked = false, rests = true;
-        Nanos since = 0;
+        Nanoseconds since = 0;
     };
-    std::map<Places::Seat, Guest> guests;
-    Nanos now = millis(1000);
+    std::map<DescriptorBudget::ClientId, Guest> guests;
+    Nanoseconds now = milliseconds(1000);
     const auto anyone = [&] { return std::next(guests.begin(), below(static_cast<int>(guests.size()))); };
     for (int steps = 40 * below(20); steps > 0; --steps) {
-        now += millis(below(300));
+        now += milliseconds(below(300));
         switch (below(6)) {
             case 0:
             case 1:
-                for (int n = below(20); n > 0 && !places.full(); --n)
-                    guests[places.comes(now)] = {false, true, now};
+                for (int n = below(20); n > 0 && !places.isFull(); --n)
+                    guests[places.addClient(now)] = {false, true, now};
                 break;
             case 2:
                 for (int n = below(20); n > 0 && !guests.empty(); --n) {
                     auto& [seat, guest] = *anyone();
-                    if (!guest.asked && !places.admits()) continue;
-                    places.asks(seat, now);
+                    if (!guest.asked && !places.mayAdmitRequest()) continue;
+                    places.requestReceived(seat, now);
                     guest = {true, false, now};
                 }
                 break;
             case 3:
                 for (auto& [seat, guest] : guests)
                     if (!guest.rests && below(2))
-                        places.rests(seat, now), guest.rests = true, guest.since = now;
+                        places.becameIdle(seat, now), guest.rests = true, guest.since = now;
                 break;
             case 4:
                 if (!guests.empty()) {
                     const auto one = anyone();
                     if (below(2)) {
-                        places.stirs(one->first, now);
+                        places.partialRequestReceived(one->first, now);
                         one->second.rests = one->second.rests && !one->second.asked;
                         one->second.since = now;
                     } else {
-                        places.leaves(one->first);
+                        places.removeClient(one->first);
                         guests.erase(one);
                     }
                 }
                 break;
             default: {
                 const int which = below(3);
-                const auto seat = which == 0   ? places.relieves(now)
-                                  : which == 1 ? places.givesPlace(now)
-                                               : places.givesTurn(now);
+                const auto seat = which == 0   ? places.clientToRelievePressure(now)
+                                  : which == 1 ? places.clientToMakeRoom(now)
+                                               : places.clientToYieldRequest(now);
                 if (!seat) break;
                 const auto found = guests.find(*seat);
                 RC_ASSERT(found != guests.end());
                 RC_ASSERT(found->second.rests);
-                RC_ASSERT(now - found->second.since >= millis(50));
+                RC_ASSERT(now - found->second.since >= milliseconds(50));
                 RC_ASSERT(found->second.asked || which == 1);
-                if (which == 0) RC_ASSERT(places.askers() > std::size_t(descriptors / 4));
-                places.leaves(*seat);
+                if (which == 0) RC_ASSERT(places.activeClientCount() > std::size_t(descriptors / 4));
+                places.removeClient(*seat);
                 guests.erase(found);
             }
         }
         std::size_t askers = 0;
         for (const auto& [seat, guest] : guests) askers += guest.asked;
-        RC_ASSERT(places.clients() == guests.size() && places.askers() == askers);
-        RC_ASSERT(places.clients() <= std::size_t(descriptors - 24));
+        RC_ASSERT(places.clientCount() == guests.size() && places.activeClientCount() == askers);
+        RC_ASSERT(places.clientCount() <= std::size_t(descriptors - 24));
     }
 }
 
@@ -92,14 +92,14 @@
 void turns() {
     const int atOnce = 1 + below(20), perStore = 1 + below(atOnce);
     const double share = 0.01 * (1 + below(90));
-    Nanos now = millis(1000);
+    Nanoseconds now = milliseconds(1000);
     tls::Pace pace({atOnce, perStore, share, 0}, now);
-    const Nanos begun = now;
+    const Nanoseconds begun = now;
     std::map<tls::Pace::Turn, std::string> waiting, underWay;
     const auto anyOf = [](auto& of) { return std::next(of.begin(), below(static_cast<int>(of.size()))); };
     double spent = 0, dearest = 1e6;
     for (int steps = 10 * below(30); steps > 0; --steps) {
-        now += millis(below(40));
+        now += milliseconds(below(40));
         switch (below(5)) {
             case 0:
             case 1: {
@@ -117,7 +117,7 @@
             case 3:
                 if (!underWay.empty()) {
                     const auto one = anyOf(underWay);
-                    const Nanos cost = millis(below(5));
+                    const Nanoseconds cost = milliseconds(below(5));
                     pace.ended(one->first, static_cast<tls::Pace::End>(below(4)), cost, now);
                     spent += double(cost);
                     dearest = std::max(dearest, double(cost));
@@ -137,7 +137,7 @@
         for (const auto& [turn, store] : underWay) RC_ASSERT(++each[store] <= perStore);
         RC_ASSERT(pace.underWay() == static_cast<int>(underWay.size()) && pace.underWay() <= atOnce);
         RC_ASSERT(pace.waiting() == waiting.size());
-        RC_ASSERT(spent <= share * double(now - begun + millis(100)) + (atOnce + 1) * dearest);
+        RC_ASSERT(spent <= share * double(now - begun + milliseconds(100)) + (atOnce + 1) * dearest);
     }
 }
 
@@ -149,19 +149,19 @@
     struct Ticket {
         std::string store, name;
         unsigned epoch;
-        Nanos goodUntil;
+        Nanoseconds goodUntil;
         bool used = false;
     };
     unsigned epoch = 1;
-    Nanos now = 0;
+    Nanoseconds now = 0;
     for (int steps = 10 * below(30); steps > 0; --steps) {
-        now += millis(below(100));
+        now += milliseconds(below(100));
         const std::string store = "s" + std::to_string(below(3)), name = "n" + std::to_string(below(2));
         if (below(10) == 0) {
             tickets.dropAll();
             ++epoch;
         } else if (below(2)) {
-            const Nanos until = now + millis(below(500));
+            const Nanoseconds until = now + milliseconds(below(500));
             tickets.keep(store, name, epoch, std::make_shared<Ticket>(Ticket{store, name, epoch, until}),
                          static_cast<std::size_t>(below(3000)), until);
         } else if (const auto handle = tickets.take(store, name, epoch, now)) {
--- a/tests/rules.cpp
+++ b/tests/rules.cpp
@@ -18,8 +18,8 @@
     Bench b;
     Store& p = b.primary("p");
     Transaction& t = b.transaction(pay);
-    b.launch(t, p);
-    b.end("t", 0, p, Ending::timedOut);
+    b.startAttempt(t, p);
+    b.end("t", 0, p, AttemptOutcome::timedOut);
     assert(b.notes.lines.back() == "write off t");
     assert(b.notes.count("launch") == 1 && !b.known("t"));
 }
@@ -30,20 +30,20 @@
     Store& p = b.primary("p");
     Transaction& t = b.transaction(post);
     t.mayHaveRunSince = b.now;
-    assert(b.mayLaunch(t, p) && !b.mayNack(t));
+    assert(b.mayStartAttempt(t, p) && !b.mayReject(t));
     b.pass(1200);
-    assert(!b.mayLaunch(t, p));
+    assert(!b.mayStartAttempt(t, p));
 }
 
 // Rule 3: nothing new to a store that drains or is gone.
 void drainedGetsNothing() {
-    for (const Standing standing : {Standing::draining, Standing::removed}) {
+    for (const StoreState standing : {StoreState::draining, StoreState::removed}) {
         Bench b;
         Store& s = b.store("s", Pool::premium);
         const Transaction& t = b.transaction(look);
-        assert(b.mayLaunch(t, s));
-        s.standing = standing;
-        assert(!b.mayLaunch(t, s));
+        assert(b.mayStartAttempt(t, s));
+        s.state = standing;
+        assert(!b.mayStartAttempt(t, s));
     }
 }
 
--- a/tests/system/acknowledgements.cpp
+++ b/tests/system/acknowledgements.cpp
@@ -41,7 +41,7 @@
     const int client = opened(rig);
     EXPECT_TRUE(succeeded(rig.ask(client, "QUERY w0 WRITE x 1")));
     rig.leases = false;
-    rig.pass(millis(750));
+    rig.pass(milliseconds(750));
     return client;
 }
 // A write, single or a transaction's, up to the store's success. What was told since.
@@ -53,7 +53,7 @@
     } else {
         rig.say(client, "QUERY w1 WRITE x 1");
     }
-    rig.run(millis(20));
+    rig.run(milliseconds(20));
     EXPECT_EQ(rig.databases.effects("w1"), 1);
     return rig.told(client);
 }
@@ -61,25 +61,25 @@
 TEST(LeadEvidence, KeepsAWriteThatWasAnsweredUnderALeaseOfItsTerm) {
     LeadEvidence evidence;
     evidence.recorded(3, {});
-    const AcknowledgedWrite write{Mark{3, 7}, 3, millis(100)};
+    const AcknowledgedWrite write{Mark{3, 7}, 3, milliseconds(100)};
     EXPECT_EQ(evidence.fateOf(write), WriteFate::open);
-    evidence.settledUntil(millis(100));
+    evidence.settledUntil(milliseconds(100));
     EXPECT_EQ(evidence.fateOf(write), WriteFate::open);  // at the end of the lease is behind it
-    evidence.settledUntil(millis(101));
+    evidence.settledUntil(milliseconds(101));
     EXPECT_EQ(evidence.fateOf(write), WriteFate::kept);
-    evidence.settledUntil(millis(50));  // leases end at different times, the latest counts
+    evidence.settledUntil(milliseconds(50));  // leases end at different times, the latest counts
     EXPECT_EQ(evidence.fateOf(write), WriteFate::kept);
 }
 
 TEST(LeadEvidence, ANewTermEndsWhatWasGrantedForTheOneBefore) {
     LeadEvidence evidence;
     evidence.recorded(3, {});
-    evidence.settledUntil(millis(900));
+    evidence.settledUntil(milliseconds(900));
     evidence.recorded(4, {});
-    EXPECT_FALSE(evidence.settled(millis(100)));
-    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, millis(100)}), WriteFate::unknown);
-    EXPECT_EQ(evidence.fateOf({Mark{4, 1}, 4, millis(100)}), WriteFate::open);
-    EXPECT_EQ(evidence.fateOf({Mark{5, 1}, 5, millis(100)}), WriteFate::open);
+    EXPECT_FALSE(evidence.settled(milliseconds(100)));
+    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, milliseconds(100)}), WriteFate::unknown);
+    EXPECT_EQ(evidence.fateOf({Mark{4, 1}, 4, milliseconds(100)}), WriteFate::open);
+    EXPECT_EQ(evidence.fateOf({Mark{5, 1}, 5, milliseconds(100)}), WriteFate::open);
 }
 
 TEST(LeadEvidence, KeepsWhatThePromotedStoreHadOfTheTermBefore) {
@@ -151,7 +151,7 @@
         client = opened(rig);
         EXPECT_TRUE(succeeded(rig.ask(client, "QUERY w0 WRITE x 1")));
         rig.leases = false;
-        rig.run(millis(750));  // connections to the replicas are made while the last lease runs
+        rig.run(milliseconds(750));  // connections to the replicas are made while the last lease runs
     }
 };
 
@@ -160,7 +160,7 @@
         WithoutControl without;
         PoolerRig& rig = without.rig;
         EXPECT_TRUE(writes(rig, without.client, transaction).empty());
-        rig.run(millis(100));
+        rig.run(milliseconds(100));
         EXPECT_TRUE(succeeded(rig.told(without.client)));
         EXPECT_EQ(rig.databases.effects("w1"), 1);
         // One question to each replica.
@@ -174,11 +174,11 @@
         PoolerRig& rig = without.rig;
         rig.databases.deaf("s2", true);
         EXPECT_TRUE(writes(rig, without.client, false).empty());
-        rig.run(millis(500));
+        rig.run(milliseconds(500));
         EXPECT_TRUE(rig.told(without.client).empty());
         if (receives) rig.databases.deaf("s2", false);
         rig.databases.slow("s1", false);  // replicates
-        rig.run(millis(600));
+        rig.run(milliseconds(600));
         const Lines told = rig.told(without.client);
         EXPECT_EQ(succeeded(told), receives) << first(told);
         EXPECT_EQ(inDoubt(told), !receives) << first(told);
@@ -192,7 +192,7 @@
     PoolerRig& rig = without.rig;
     rig.cutAll("s2");
     EXPECT_TRUE(writes(rig, without.client, false).empty());
-    rig.run(millis(1200));
+    rig.run(milliseconds(1200));
     EXPECT_TRUE(inDoubt(rig.told(without.client)));
 }
 
@@ -203,11 +203,11 @@
     const int c = opened(rig);
     EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w0 WRITE x 1")));
     rig.leases = false;
-    rig.pass(millis(750));  // asked for while it runs, but no store answers in that time
+    rig.pass(milliseconds(750));  // asked for while it runs, but no store answers in that time
     EXPECT_TRUE(writes(rig, c, false).empty());
     ASSERT_FALSE(rig.linesTo("s1").empty());
     ASSERT_FALSE(rig.linesTo("s2").empty());
-    rig.run(millis(1200));
+    rig.run(milliseconds(1200));
     EXPECT_TRUE(inDoubt(rig.told(c)));
 }
 
@@ -217,14 +217,14 @@
     PoolerRig& rig = without.rig;
     for (int i = 0; i < 18; ++i) {
         EXPECT_TRUE(succeeded(rig.ask(without.client, "QUERY v" + std::to_string(i) + " WRITE x 1"))) << i;
-        rig.run(millis(1000));
+        rig.run(milliseconds(1000));
     }
-    rig.run(millis(2500));
+    rig.run(milliseconds(2500));
     rig.say(without.client, "QUERY late WRITE x 1");
-    rig.run(millis(1200));
+    rig.run(milliseconds(1200));
     EXPECT_TRUE(inDoubt(rig.told(without.client)));
     rig.leases = true;
-    rig.run(millis(300));
+    rig.run(milliseconds(300));
     EXPECT_TRUE(succeeded(rig.ask(without.client, "QUERY again WRITE x 1")));
 }
 
@@ -232,9 +232,9 @@
     for (const bool leased : {false, true}) {
         PoolerRig rig(3, 1, leased);
         EXPECT_EQ(rig.pooler->ready(), leased);
-        rig.pass(millis(900));
+        rig.pass(milliseconds(900));
         EXPECT_EQ(rig.pooler->ready(), leased);
-        rig.pass(millis(200));
+        rig.pass(milliseconds(200));
         EXPECT_TRUE(rig.pooler->ready());
     }
 }
@@ -245,7 +245,7 @@
         const int c = openedWithoutLease(rig);
         EXPECT_TRUE(writes(rig, c, transaction).empty());
         rig.leases = true;
-        rig.run(millis(250));
+        rig.run(milliseconds(250));
         EXPECT_TRUE(succeeded(rig.told(c)));
         EXPECT_EQ(rig.databases.effects("w1"), 1);
         EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w2 WRITE x 2")));
@@ -257,14 +257,14 @@
         PoolerRig rig;
         const int c = openedWithoutLease(rig);
         EXPECT_TRUE(writes(rig, c, transaction).empty());
-        rig.run(millis(900));
+        rig.run(milliseconds(900));
         EXPECT_TRUE(rig.told(c).empty());
-        rig.run(millis(200));  // the route's deadline is 1,000 ms
+        rig.run(milliseconds(200));  // the route's deadline is 1,000 ms
         const Lines told = rig.told(c);
         EXPECT_TRUE(inDoubt(told)) << first(told);
         EXPECT_EQ(told.back(), "READY I -");
         rig.leases = true;
-        rig.run(millis(250));
+        rig.run(milliseconds(250));
         EXPECT_TRUE(rig.told(c).empty());  // nothing more is said of it
         EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w2 WRITE x 2")));
     }
@@ -290,7 +290,7 @@
     EXPECT_TRUE(writes(rig, c, false).empty());
     rig.leave(c);
     rig.leases = true;
-    rig.run(millis(250));
+    rig.run(milliseconds(250));
     EXPECT_TRUE(rig.told(c).empty());
     EXPECT_EQ(rig.pooler->sessions(), 0u);
 }
@@ -300,10 +300,10 @@
     const int c = openedWithoutLease(rig);
     EXPECT_TRUE(writes(rig, c, false).empty());
     rig.say(c, "QUERY r1 READ x");
-    rig.run(millis(20));
+    rig.run(milliseconds(20));
     EXPECT_EQ(sent(rig, "QUERY r1"), 0u);
     rig.leases = true;
-    rig.run(millis(250));
+    rig.run(milliseconds(250));
     const Lines told = rig.told(c);
     ASSERT_EQ(told.size(), 5u);
     EXPECT_TRUE(told.front().starts_with("DONE"));
@@ -317,7 +317,7 @@
         const int c = openedWithoutLease(rig);
         rig.lead("s0", false);
         rig.say(c, "QUERY w1 WRITE x 1");
-        rig.run(millis(300));
+        rig.run(milliseconds(300));
         EXPECT_EQ(sent(rig, "QUERY w1"), 0u);
         EXPECT_TRUE(rig.told(c).empty());
         if (moves) {
@@ -325,7 +325,7 @@
         }
         rig.leases = true;
         rig.lead(rig.databases.lead(), true, moves ? "1.1" : "");
-        rig.run(millis(250));
+        rig.run(milliseconds(250));
         EXPECT_TRUE(succeeded(rig.told(c))) << moves;
         EXPECT_EQ(rig.databases.effects("w1"), 1) << moves;
         EXPECT_EQ(sent(rig, "QUERY w1"), 1u) << moves;
@@ -337,11 +337,11 @@
     const int c = openedWithoutLease(rig);
     rig.lead("s0", false);
     rig.say(c, "QUERY w1 WRITE x 1");
-    rig.run(millis(1100));
+    rig.run(milliseconds(1100));
     EXPECT_TRUE(first(rig.told(c)).starts_with("ERROR BUSY"));
     rig.leases = true;
     rig.lead("s0");
-    rig.run(millis(300));
+    rig.run(milliseconds(300));
     EXPECT_EQ(sent(rig, "QUERY w1"), 0u);
     EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w2 WRITE x 2")));
 }
@@ -354,14 +354,14 @@
         rig.ask(c, "QUERY w1 WRITE x 1");
         rig.lead("s0", false);
         rig.say(c, "QUERY c1 COMMIT");
-        rig.run(millis(300));
+        rig.run(milliseconds(300));
         EXPECT_EQ(sent(rig, "QUERY c1"), 0u);
         if (moves) {
             ASSERT_TRUE(rig.databases.promote("s1"));
         }
         rig.leases = true;
         rig.lead(rig.databases.lead(), true, moves ? "1.1" : "");
-        rig.run(millis(250));
+        rig.run(milliseconds(250));
         const Lines told = rig.told(c);
         EXPECT_EQ(succeeded(told), !moves) << first(told);
         EXPECT_EQ(first(told).starts_with("ERROR ABORTED"), moves) << first(told);
@@ -374,13 +374,13 @@
     PoolerRig rig;
     const int c = opened(rig);
     EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w0 WRITE x 1")));
-    rig.run(millis(250));
+    rig.run(milliseconds(250));
     rig.leases = false;
     rig.lead("s0", false);
     EXPECT_TRUE(succeeded(rig.ask(c, "QUERY w1 WRITE x 1")));
-    rig.run(millis(750));
+    rig.run(milliseconds(750));
     rig.say(c, "QUERY w2 WRITE x 1");
-    rig.run(millis(50));
+    rig.run(milliseconds(50));
     EXPECT_TRUE(rig.told(c).empty());
     EXPECT_EQ(sent(rig, "QUERY w2"), 0u);
 }
@@ -388,22 +388,22 @@
 // What the promoted store had is written with the lead, and no later change but the next promotion's ends it.
 TEST(Acknowledgements, APromotionWritesWhatThePromotedStoreHad) {
     standins::SuccessionRig rig;
-    control::Succession owner("m1", "svc", millis(750), rig);
-    Nanos now = millis(10'000);
+    control::Succession owner("m1", "svc", milliseconds(750), rig);
+    Nanoseconds now = milliseconds(10'000);
     owner.own(true, now);
-    settleDown(rig, owner, now, millis(500));
+    settleDown(rig, owner, now, milliseconds(500));
     for (const char* id : {"w1", "w2", "w3"}) rig.write(id);
     ASSERT_TRUE(rig.lead);
     EXPECT_FALSE(rig.lead->retained);
     rig.databases.dark("s0", true);
     owner.suspected("s0", now);
-    settleDown(rig, owner, now, millis(3000));
+    settleDown(rig, owner, now, milliseconds(3000));
     ASSERT_TRUE(rig.lead->steady);
     EXPECT_NE(rig.lead->store, "s0");
     EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
     EXPECT_EQ(control::readLead(control::written(*rig.lead))->retained, (Mark{1, 3}));
     rig.beat("s9");  // a store that is new: its record is written, the position stays
-    settleDown(rig, owner, now, millis(1000));
+    settleDown(rig, owner, now, milliseconds(1000));
     EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
 }
 }  // namespace
--- a/tests/system/agent.cpp
+++ b/tests/system/agent.cpp
@@ -11,8 +11,8 @@
 #include "board/messages.hpp"
 
 namespace {
-using granitereel::millis;
-using granitereel::Nanos;
+using granitereel::milliseconds;
+using granitereel::Nanoseconds;
 using granitereel::agent::Agent;
 using nlohmann::json;
 
@@ -29,7 +29,7 @@
 
 // An agent with the proxy below it, and parents that the test answers for.
 struct AgentRig {
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     Agent agent{settings(), now};
     std::vector<Agent::Said> said;
     int lastLink = 0;
@@ -55,17 +55,17 @@
     }
     // The number of the question that is asked now.
     std::uint64_t question() {
-        pass(millis(200));
+        pass(milliseconds(200));
         for (auto at = said.rbegin(); at != said.rend(); ++at)
             if (at->message["k"] == "lease?") return at->message["t"];
         return 0;
     }
-    void pass(Nanos time) {
+    void pass(Nanoseconds time) {
         now += time;
         agent.tick(now);
         take();
     }
-    void answer(int link, std::uint64_t question, Nanos left, const json& unsettled = json::object()) {
+    void answer(int link, std::uint64_t question, Nanoseconds left, const json& unsettled = json::object()) {
         agent.heard(link, {{"k", "lease"}, {"t", question}, {"left", left / 1000}, {"c", unsettled}}, now);
         take();
     }
@@ -75,19 +75,19 @@
         take();
         return said.back().message;
     }
-    Nanos left() { return grant()["left"].get<Nanos>() * 1000; }
+    Nanoseconds left() { return grant()["left"].get<Nanoseconds>() * 1000; }
 };
 
 TEST(Agent, CountsALeaseFromItsQuestionAndGrantsNoMoreOfIt) {
     AgentRig rig;
     const int parent = rig.parent();
     const auto question = rig.question();
-    rig.now += millis(300);  // the answer is slow
-    rig.answer(parent, question, millis(700));
-    EXPECT_EQ(rig.left(), millis(400));
-    rig.now += millis(400);
+    rig.now += milliseconds(300);  // the answer is slow
+    rig.answer(parent, question, milliseconds(700));
+    EXPECT_EQ(rig.left(), milliseconds(400));
+    rig.now += milliseconds(400);
     EXPECT_EQ(rig.left(), 0);
-    rig.now += millis(20'000);
+    rig.now += milliseconds(20'000);
     EXPECT_EQ(rig.left(), 0);
 }
 
@@ -95,8 +95,8 @@
     AgentRig rig;
     const int parent = rig.parent();
     const auto question = rig.question();
-    rig.now += millis(20'000);  // it or its parent stood still
-    rig.answer(parent, question, millis(700));
+    rig.now += milliseconds(20'000);  // it or its parent stood still
+    rig.answer(parent, question, milliseconds(700));
     EXPECT_EQ(rig.left(), 0);
 }
 
@@ -105,19 +105,19 @@
     const int old = rig.parent("10.1.0.1");
     const auto first = rig.question();
     const int next = rig.parent("10.1.0.2");  // while the old link still stands
-    rig.answer(old, first, millis(700));
+    rig.answer(old, first, milliseconds(700));
     EXPECT_EQ(rig.left(), 0);
-    rig.answer(next, first, millis(700));  // a number of the other link's
+    rig.answer(next, first, milliseconds(700));  // a number of the other link's
     EXPECT_EQ(rig.left(), 0);
     const auto second = rig.question();
     EXPECT_NE(second, first);
-    rig.answer(old, second, millis(700));
+    rig.answer(old, second, milliseconds(700));
     EXPECT_EQ(rig.left(), 0);
-    rig.answer(next, second, millis(700));
-    EXPECT_EQ(rig.left(), millis(700));
-    rig.now += millis(100);
-    rig.answer(next, second, millis(700));  // the same one once more
-    EXPECT_EQ(rig.left(), millis(600));
+    rig.answer(next, second, milliseconds(700));
+    EXPECT_EQ(rig.left(), milliseconds(700));
+    rig.now += milliseconds(100);
+    rig.answer(next, second, milliseconds(700));  // the same one once more
+    EXPECT_EQ(rig.left(), milliseconds(600));
 }
 
 TEST(Agent, TakesNoAnswerOverTheSameParentsEarlierLink) {
@@ -126,20 +126,20 @@
     const auto question = rig.question();
     rig.agent.upward(0, "", rig.now);
     const int again = rig.parent();
-    rig.answer(again, question, millis(700));
+    rig.answer(again, question, milliseconds(700));
     EXPECT_EQ(rig.left(), 0);
 }
 
 TEST(Agent, AParentWithoutALeaseTakesNoWarningBack) {
     AgentRig rig;
     const int old = rig.parent("10.1.0.1");
-    rig.answer(old, rig.question(), millis(700), {{"svc", 5}});
+    rig.answer(old, rig.question(), milliseconds(700), {{"svc", 5}});
     const int next = rig.parent("10.1.0.2");
     rig.answer(next, rig.question(), 0);  // it has just started, and knows of nothing
-    EXPECT_EQ(rig.left(), millis(500));
+    EXPECT_EQ(rig.left(), milliseconds(500));
     EXPECT_EQ(rig.grant()["c"], json({{"svc", 5}}));
     // A longer lease brings its own list: what was in doubt has been settled before its round.
-    rig.answer(next, rig.question(), millis(700), {{"other", 2}});
+    rig.answer(next, rig.question(), milliseconds(700), {{"other", 2}});
     EXPECT_EQ(rig.grant()["c"], json({{"other", 2}}));
 }
 
@@ -154,9 +154,11 @@
 // A member of control as it grants: a round that begins at `round` gives a lease until 700 ms later, with the
 // services whose lead its voters then knew to be changing.
 struct Member {
-    Nanos round = 0;
+    Nanoseconds round = 0;
     json unsettled = json::object();
-    Nanos left(Nanos now) const { return std::max<Nanos>(0, round + millis(700) - now); }
+    Nanoseconds left(Nanoseconds now) const {
+        return std::max<Nanoseconds>(0, round + milliseconds(700) - now);
+    }
 };
 
 // Parents with rounds of their own, whose answers come late or through links that were left. `changing` since
@@ -168,11 +170,11 @@
     struct Late {
         int link;
         std::uint64_t question;
-        Nanos left;
+        Nanoseconds left;
         json unsettled;
     };
     std::vector<Late> late;
-    Nanos unsettledAt = 0;
+    Nanoseconds unsettledAt = 0;
     std::size_t heardOf = rig.said.size();
     for (std::size_t step = 0; step < first.size() + 60; ++step) {
         switch (step < first.size() ? first[step] : static_cast<int>(random() % 7)) {
@@ -188,7 +190,7 @@
                 links[up] = rig.parent("10.1.0." + std::to_string(up + 1));
                 break;
             case 2:
-                rig.pass(millis(200));
+                rig.pass(milliseconds(200));
                 break;
             case 3:  // answers that wait arrive, in any order
                 std::shuffle(late.begin(), late.end(), random);
@@ -196,13 +198,13 @@
                 late.clear();
                 break;
             case 4:
-                rig.now += millis(static_cast<int>(random() % 300));
+                rig.now += milliseconds(static_cast<int>(random() % 300));
                 break;
             case 5:
                 if (!unsettledAt) unsettledAt = rig.now;
                 break;
             case 6:
-                if (random() % 8 == 0) rig.now += millis(20'000);
+                if (random() % 8 == 0) rig.now += milliseconds(20'000);
                 if (random() % 8 == 0) members[random() % 2] = Member();  // starts anew
                 break;
         }
@@ -214,11 +216,12 @@
         }
         const json grant = rig.grant();
         heardOf = rig.said.size();
-        const Nanos left = grant["left"].get<Nanos>() * 1000;
-        const Nanos latest = std::max(members[0].round, members[1].round) + millis(700);
+        const Nanoseconds left = grant["left"].get<Nanoseconds>() * 1000;
+        const Nanoseconds latest = std::max(members[0].round, members[1].round) + milliseconds(700);
         if (left > 0 && rig.now + left > latest && members[0].round && members[1].round)
             return "a lease that nobody gave: " + std::to_string(left);
-        if (unsettledAt && left > 0 && rig.now >= unsettledAt + millis(700) && !grant["c"].contains("svc"))
+        if (unsettledAt && left > 0 && rig.now >= unsettledAt + milliseconds(700) &&
+            !grant["c"].contains("svc"))
             return "a lead that changes is hidden";
     }
     return {};
--- a/tests/system/ballots.cpp
+++ b/tests/system/ballots.cpp
@@ -30,10 +30,10 @@
     void begin(const Json& value) {
         proposer.begin({"config", [value](const Json& was) { return was.is_null() ? value : was; },
                         [this](std::optional<Json> stands) { ended = stands; }},
-                       1, millis(900));
+                       1, milliseconds(900));
     }
     // Delivers what is said to these voters (by bits), and their answers; the rest is lost.
-    void deliver(std::bitset<3> to, Nanos now = millis(1)) {
+    void deliver(std::bitset<3> to, Nanoseconds now = milliseconds(1)) {
         for (const Proposer::Said& said : proposer.takeSaid()) {
             const auto place = std::find(voters.begin(), voters.end(), said.to) - voters.begin();
             if (!to[static_cast<std::size_t>(place)]) continue;
@@ -43,7 +43,7 @@
     }
     // A refused attempt is made again, above.
     void settle(std::bitset<3> to) {
-        for (Nanos now = millis(2); !ended && now < millis(890); now += millis(10)) {
+        for (Nanoseconds now = milliseconds(2); !ended && now < milliseconds(890); now += milliseconds(10)) {
             proposer.tick(now);
             deliver(to, now);
         }
@@ -88,7 +88,7 @@
     std::size_t lives = 0;
     const std::string who = World::address(0);
     for (const bool wipe : {false, false, true, false}) {
-        world.run(millis(2500));
+        world.run(milliseconds(2500));
         world.put(who, ++lives, "x");
         for (const auto& packet : world.packets) {
             if (packet.from != who || packet.message.at("k") != "prepare") continue;
@@ -176,9 +176,9 @@
     std::map<std::string, Acceptor> acceptors;
     Life life(acceptors, 1);
     life.begin("one");
-    life.deliver(0b111, millis(20'000));
+    life.deliver(0b111, milliseconds(20'000));
     EXPECT_TRUE(life.proposer.takeSaid().empty());
-    life.proposer.tick(millis(20'000));
+    life.proposer.tick(milliseconds(20'000));
     EXPECT_FALSE(life.ended);
 }
 
@@ -194,7 +194,8 @@
     life.proposer.lost("c");
     life.begin("one");
     EXPECT_EQ(told(life.proposer, "c"), 0u);
-    for (Nanos now = millis(50); now < millis(850); now += millis(50)) life.proposer.tick(now);
+    for (Nanoseconds now = milliseconds(50); now < milliseconds(850); now += milliseconds(50))
+        life.proposer.tick(now);
     EXPECT_TRUE(life.proposer.takeSaid().empty());
     // A new link is another matter; so is a voter that had no vote yet.
     life.proposer.lost("b");
@@ -203,8 +204,8 @@
     VoteReply abstains;
     abstains.attempt = 1;
     abstains.ballot = {1, {"d", "1", 1}};
-    life.proposer.heard("a", abstains.toJson(), millis(860));
-    life.proposer.tick(millis(880));
+    life.proposer.heard("a", abstains.toJson(), milliseconds(860));
+    life.proposer.tick(milliseconds(880));
     EXPECT_EQ(told(life.proposer, "a"), 1u);
 }
 
@@ -219,14 +220,14 @@
     big["edition"] = 2;
     second.proposer.begin({"config", [&](const Json&) { return big; },
                            [&](std::optional<Json> stands) { second.ended = stands; }},
-                          1, millis(900));
+                          1, milliseconds(900));
     second.deliver(0b011);
     std::map<std::string, std::size_t> bytes;
     for (const auto& [to, message] : second.proposer.takeSaid()) {
         bytes[to] += message.dump().size();
         const auto outcome = acceptors[to].answer(VoteRequest::fromJson(message));
         if (to == "b") continue;  // its answer is lost with the link
-        second.proposer.heard(to, outcome.reply.toJson(), millis(2));
+        second.proposer.heard(to, outcome.reply.toJson(), milliseconds(2));
     }
     EXPECT_LT(bytes["a"], 500u);
     EXPECT_LT(bytes["b"], 500u);
@@ -258,19 +259,19 @@
     Life life(acceptors, 1);
     life.begin("one");
     life.deliver(0b001);
-    life.proposer.forgets("a", millis(2));
+    life.proposer.forgets("a", milliseconds(2));
     EXPECT_EQ(told(life.proposer, "a"), 1u);
-    life.proposer.tick(millis(2));
+    life.proposer.tick(milliseconds(2));
     VoteReply promised{VoteKind::promised, 1, {1, {"d", "1", 1}}, {}, false, Json()};
-    life.proposer.heard("b", promised.toJson(), millis(3));
+    life.proposer.heard("b", promised.toJson(), milliseconds(3));
     EXPECT_TRUE(life.proposer.takeSaid().empty());  // one promise is left
-    life.proposer.heard("a", promised.toJson(), millis(4));
+    life.proposer.heard("a", promised.toJson(), milliseconds(4));
     EXPECT_GT(life.proposer.takeSaid().size(), 0u);
     // While accepting: the ballot rests on a promise that nobody keeps.
-    life.proposer.forgets("b", millis(5));
+    life.proposer.forgets("b", milliseconds(5));
     for (const auto& [to, message] : life.proposer.takeSaid()) EXPECT_EQ(message.at("k"), "prepare");
     VoteReply accepted{VoteKind::accepted, 1, {1, {"d", "1", 1}}, {}, false, {}};
-    for (const char* voter : {"a", "b", "c"}) life.proposer.heard(voter, accepted.toJson(), millis(6));
+    for (const char* voter : {"a", "b", "c"}) life.proposer.heard(voter, accepted.toJson(), milliseconds(6));
     EXPECT_FALSE(life.ended);
 }
 
@@ -287,28 +288,28 @@
                                return next;
                            },
                            [&](std::optional<Json> stands) { second.ended = stands; }},
-                          1, millis(900));
+                          1, milliseconds(900));
     second.deliver(0b111);
     for (const auto& [to, message] : second.proposer.takeSaid()) {
         ASSERT_TRUE(message.contains("patch"));
         if (to == "c") continue;
         acceptors[to] = {};  // what it held is not what it said
         second.proposer.heard(to, acceptors[to].answer(VoteRequest::fromJson(message)).reply.toJson(),
-                              millis(2));
+                              milliseconds(2));
     }
-    second.deliver(0b011, millis(3));
+    second.deliver(0b011, milliseconds(3));
     ASSERT_TRUE(second.ended);
     EXPECT_EQ(acceptors["a"].at("config").value.at("edition"), 2);
 }
 
 TEST(Proposers, CutOffFromAVoterSendItNothing) {
     World world(3, 0, 4);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     for (const int other : {0, 1}) world.cut.insert({World::address(2), World::address(other)});
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     world.bytesSent.clear();
     world.put(World::address(0), 5, std::string(10'000, 'x'));
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     EXPECT_LT(world.bytesSent["accept"], 11'000u);
     EXPECT_LT(world.bytesSent["prepare"], 3'000u);
 }
@@ -316,19 +317,19 @@
 TEST(Proposers, EightAtOnceMakeProgressAtNineMembers) {
     const char* const more = std::getenv("SEEDS");
     const unsigned seeds = more ? static_cast<unsigned>(std::stoul(more)) : 12;
-    Nanos latestFirst = 0, latest = 0;
+    Nanoseconds latestFirst = 0, latest = 0;
     int unanswered = 0;
     for (unsigned seed = 0; seed < seeds; ++seed) {
         World world(3, 6, seed);
-        world.run(millis(9000));
+        world.run(milliseconds(9000));
         ASSERT_EQ(world.members[World::address(8)].control->state(world.now)["voters"].size(), 9u);
         std::vector<std::pair<std::string, std::uint64_t>> calls;
-        const Nanos start = world.now;
+        const Nanoseconds start = world.now;
         for (int i = 0; i < 8; ++i)
             calls.emplace_back(World::address(i), world.put(World::address(i), 20 + (i * 5) % 8, "x"));
-        Nanos first = 0;
+        Nanoseconds first = 0;
         std::size_t taken = 0;
-        while (taken < calls.size() && world.now - start < millis(900)) {
+        while (taken < calls.size() && world.now - start < milliseconds(900)) {
             world.step();
             taken = static_cast<std::size_t>(std::count_if(
                 calls.begin(), calls.end(), [&](const auto& c) { return world.taken(c.first, c.second); }));
@@ -340,8 +341,8 @@
         unanswered += static_cast<int>(calls.size() - taken);
     }
     std::printf("first of eight acknowledged within %d ms, the last within %d ms; %d of %u not taken\n",
-                static_cast<int>(latestFirst / millis(1)), static_cast<int>(latest / millis(1)), unanswered,
-                8 * seeds);
-    EXPECT_LE(latestFirst, millis(900));
+                static_cast<int>(latestFirst / milliseconds(1)), static_cast<int>(latest / milliseconds(1)),
+                unanswered, 8 * seeds);
+    EXPECT_LE(latestFirst, milliseconds(900));
 }
 }  // namespace
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -49,9 +49,9 @@
     bool answered(const std::string& at, std::uint64_t no) { return members[at].answers.count(no) > 0; }
     Kind kind(const std::string& at, std::uint64_t no) { return members[at].answers.at(no).first; }
     // Runs until the call is answered; how long that took.
-    Nanos await(const std::string& at, std::uint64_t no) {
-        const Nanos from = now;
-        while (!answered(at, no) && now - from < millis(3000)) step();
+    Nanoseconds await(const std::string& at, std::uint64_t no) {
+        const Nanoseconds from = now;
+        while (!answered(at, no) && now - from < milliseconds(3000)) step();
         return now - from;
     }
     const board::Record* store(const std::string& at, const std::string& id) {
@@ -88,23 +88,23 @@
 
 // 20 s on the wrong side, with restarts of the cut side and then of the others.
 TEST(Calls, OfAMemberThatIsCutOffAreSentOnWithinTheSecond) {
-    Nanos longest = 0, longestWithoutLease = 0;
+    Nanoseconds longest = 0, longestWithoutLease = 0;
     for (const auto& [sends, hears] : {std::pair{false, false}, {false, true}, {true, false}})
         for (const bool restarts : {false, true}) {
             World world(3, 0, 21);
-            world.run(millis(1500));
+            world.run(milliseconds(1500));
             world.cutOff(b, sends, hears);
             std::set<std::string> left;
             std::uint64_t edition = 100;
-            const Nanos cutAt = world.now;
-            for (int turn = 0; world.now < cutAt + millis(20'000); ++turn) {
+            const Nanoseconds cutAt = world.now;
+            for (int turn = 0; world.now < cutAt + milliseconds(20'000); ++turn) {
                 const std::string id = "i-" + std::to_string(turn);
                 if (restarts && turn == 6) world.kill(b), world.start(b);
-                if (restarts && turn == 12) world.kill(c), world.start(c), world.run(millis(1500));
+                if (restarts && turn == 12) world.kill(c), world.start(c), world.run(milliseconds(1500));
                 // The lease that was had at the cut may outlive it for its time.
                 const bool contact = world.now - cutAt < LeaseRounds::leaseTime;
                 const auto on = [&](std::uint64_t no) {
-                    const Nanos took = world.await(b, no);
+                    const Nanoseconds took = world.await(b, no);
                     longest = std::max(longest, took);
                     if (!contact) longestWithoutLease = std::max(longestWithoutLease, took);
                     ASSERT_TRUE(world.answered(b, no));
@@ -133,8 +133,8 @@
                 if (world.kind(at, leaving) == Kind::taken) left.insert(id);
             }
             world.heal();
-            if (restarts) world.run(millis(2000)), world.kill(a), world.start(a);
-            world.run(millis(3000));
+            if (restarts) world.run(milliseconds(2000)), world.kill(a), world.start(a);
+            world.run(milliseconds(3000));
             for (const std::string& at : {a, b, c}) {
                 const auto read = world.get(at);
                 ASSERT_TRUE(read);
@@ -143,27 +143,28 @@
                 for (const std::string& id : left) EXPECT_EQ(world.standing(at, id), "winding_down") << at;
             }
         }
-    EXPECT_LT(longest, millis(1000));
-    EXPECT_LE(longestWithoutLease, WaitingCalls::waits + millis(50));  // and a tick
+    EXPECT_LT(longest, milliseconds(1000));
+    EXPECT_LE(longestWithoutLease, WaitingCalls::waits + milliseconds(50));  // and a tick
     std::printf("longest answer of a member that is cut off: %d ms, once its lease has ended %d ms\n",
-                static_cast<int>(longest / millis(1)), static_cast<int>(longestWithoutLease / millis(1)));
+                static_cast<int>(longest / milliseconds(1)),
+                static_cast<int>(longestWithoutLease / milliseconds(1)));
 }
 
 // The lease comes while a call waits for it, and the majority is lost again before the call has been carried
 // out: the time that it waited is not given twice.
 TEST(Calls, ThatWaitedForALeaseAreAnsweredWithinOneDeadline) {
-    Nanos longest = 0;
+    Nanoseconds longest = 0;
     int ran = 0;
     for (int late_ms = 0; late_ms < 300; late_ms += 10) {
         World world(3, 0, static_cast<unsigned>(late_ms + 1));
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.cutOff(b, false, false);
-        world.run(millis(1000));
+        world.run(milliseconds(1000));
         const std::vector<std::uint64_t> calls = {world.put(b, 100, "late"), world.call(b, "GET", {"config"}),
                                                   world.beat(b, "i-1", {2, "winding_down"}),
                                                   world.leave(b, "i-2")};
-        const Nanos from = world.now;
-        world.run(millis(late_ms));
+        const Nanoseconds from = world.now;
+        world.run(milliseconds(late_ms));
         world.mute.clear();
         const auto leased = [&] { return world.members[b].control->state(world.now)["lease_left_ms"] > 0; };
         while (!leased() && world.now - from < WaitingCalls::waits) world.step();
@@ -176,9 +177,9 @@
         }
     }
     EXPECT_GT(ran, 10);
-    EXPECT_LE(longest, CallRouter::answeredWithin + millis(50));  // and a tick
+    EXPECT_LE(longest, CallRouter::answeredWithin + milliseconds(50));  // and a tick
     std::printf("longest answer of a call that waited for a lease: %d ms\n",
-                static_cast<int>(longest / millis(1)));
+                static_cast<int>(longest / milliseconds(1)));
 }
 
 // The member that took a store's leaving dies the moment that it has said so, and any of its links had
@@ -189,16 +190,16 @@
         for (const bool deletes : {false, true})
             for (int lost = 0; lost < 1 << (size - 1); ++lost) {
                 World world(3, size - 3, static_cast<unsigned>(lost + 1));
-                world.run(millis(4000));
+                world.run(milliseconds(4000));
                 world.await(a, world.beat(a, "i-1", {}));
-                world.run(millis(200));
+                world.run(milliseconds(200));
                 for (int i = 1; i < size; ++i)
                     if (lost >> (i - 1) & 1) world.mute.insert({a, World::address(i)});
                 const auto no = deletes ? world.leave(a, "i-1") : world.beat(a, "i-1", {2, "winding_down"});
-                EXPECT_LT(world.await(a, no), millis(1000));
+                EXPECT_LT(world.await(a, no), milliseconds(1000));
                 const bool acknowledged = world.kind(a, no) == Kind::taken;
                 world.kill(a);
-                world.run(millis(1500));
+                world.run(milliseconds(1500));
                 if (lost + 1 == 1 << (size - 1)) {
                     EXPECT_FALSE(acknowledged);
                 }
@@ -212,16 +213,16 @@
 // Said again to one that heard it over the board alone, while the member that took it is dead.
 TEST(Calls, ThatRepeatALeavingAreAcknowledgedByAMajorityToo) {
     World world(3, 0, 5);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     world.await(a, world.beat(a, "i-1", {}));
-    world.run(millis(200));
+    world.run(milliseconds(200));
     world.mute = {{a, c}, {b, c}, {b, a}};
     world.beat(a, "i-1", {2, "winding_down"});
-    world.run(millis(20));
+    world.run(milliseconds(20));
     ASSERT_EQ(world.standing(b, "i-1"), "winding_down");
     world.kill(a);
     const auto again = world.beat(b, "i-1", {3, "winding_down"});
-    EXPECT_LT(world.await(b, again), millis(1000));
+    EXPECT_LT(world.await(b, again), milliseconds(1000));
     EXPECT_NE(world.kind(b, again), Kind::taken);
 }
 
@@ -229,9 +230,9 @@
 TEST(Calls, ThatWereOvertakenAreNotTakenByWhoeverIsBehind) {
     for (const bool forgot : {false, true}) {
         World world(3, 0, 9);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.await(a, world.beat(a, "i-1", {}));
-        world.run(millis(200));
+        world.run(milliseconds(200));
         world.cutOff(c, false, false);
         const auto leaving = world.beat(a, "i-1", {3, "winding_down"});
         world.await(a, leaving);
@@ -242,7 +243,7 @@
         if (forgot) {
             world.cut = {{a, b}};
             world.kill(b), world.start(b);
-            world.run(millis(100));
+            world.run(milliseconds(100));
         }
         const auto late = world.beat(c, "i-1", {2, "accepting", "10.9.0.1:80", 0, "head_office"});
         world.await(c, late);
@@ -260,9 +261,9 @@
 TEST(Calls, AtAMemberThatIsBehindStandAboveWhatItDidNotKnow) {
     for (const bool deletes : {false, true}) {
         World world(3, 0, 9);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.await(a, world.beat(a, "i-1", {}));
-        world.run(millis(200));
+        world.run(milliseconds(200));
         world.mute = {{a, c}, {b, c}};
         world.await(a, world.beat(a, "i-1", {2, "accepting", "10.9.0.1:80", 0, "head_office"}));
         world.await(a, world.beat(a, "i-1", {3}));
@@ -270,36 +271,36 @@
         const auto no = deletes ? world.leave(c, "i-1") : world.beat(c, "i-1", {4, "winding_down"});
         world.await(c, no);
         ASSERT_EQ(world.kind(c, no), Kind::taken);
-        world.run(millis(100));
+        world.run(milliseconds(100));
         for (const std::string& at : {a, b, c})
             EXPECT_EQ(world.standing(at, "i-1"), deletes ? "gone" : "winding_down");
     }
     // Two bodies under one number, and so one version: all end with one of them.
     {
         World world(3, 0, 9);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.await(a, world.beat(a, "i-1", {}));
-        world.run(millis(200));
+        world.run(milliseconds(200));
         world.mute = {{a, c}, {b, c}, {c, a}, {c, b}};
         world.await(a, world.beat(a, "i-1", {2, "accepting", "10.9.0.1:80", 0, "head_office"}));
         const auto no = world.beat(c, "i-1", {2, "winding_down"});
-        world.run(millis(10));
+        world.run(milliseconds(10));
         world.mute.clear();
         world.await(c, no);
         EXPECT_EQ(world.kind(c, no), Kind::taken);
-        world.run(millis(100));
+        world.run(milliseconds(100));
         for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "winding_down");
     }
     // Of a store that it does not know at all, though it was asked for it before.
     World world(3, 0, 9);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     world.await(c, world.leave(c, "i-1"));
     EXPECT_EQ(world.standing(c, "i-1"), "unknown");
     world.mute = {{a, c}, {b, c}};
     world.await(a, world.beat(a, "i-1", {}));
     world.mute.clear();
     world.await(c, world.leave(c, "i-1"));
-    world.run(millis(100));
+    world.run(milliseconds(100));
     for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "gone");
 }
 
@@ -312,7 +313,7 @@
         const int size = 3 + static_cast<int>(seed % 3);
         World world(3, size - 3, seed);
         std::mt19937 chance(seed + 77);
-        world.run(millis(3500));
+        world.run(milliseconds(3500));
         std::map<std::string, std::string> left;  // what was acknowledged
         for (int round = 0; round < 6; ++round) {
             const std::string victim = World::address(static_cast<int>(chance() % size));
@@ -330,7 +331,7 @@
                         const std::string at = somewhere();
                         if (!world.members[at].control) continue;
                         const std::uint64_t no = how(at);
-                        EXPECT_LT(world.await(at, no), millis(1000)) << "seed " << seed;
+                        EXPECT_LT(world.await(at, no), milliseconds(1000)) << "seed " << seed;
                         if (world.answered(at, no) && world.kind(at, no) == Kind::taken) return true;
                     }
                     return false;
@@ -349,7 +350,7 @@
             }
             world.heal();
             if (!world.members[victim].control) world.start(victim);
-            world.run(millis(3000));
+            world.run(milliseconds(3000));
         }
         leftInAll += static_cast<int>(left.size());
         for (const auto& [id, how] : left)
@@ -365,9 +366,9 @@
 
 TEST(Calls, OfAnUnchangedStoreCostNoMessages) {
     World world(3, 0, 5);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const auto sentBy = [&](const std::function<void()>& does) {
-        world.run(millis(300));
+        world.run(milliseconds(300));
         const std::size_t before = world.packets.size();
         does();
         return world.packets.size() - before;
@@ -386,7 +387,7 @@
     std::vector<int> order{0, 1, 2, 3};
     do {
         World world(3, 0, 5);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.await(a, world.beat(a, "i-1", {50}));
         bool gone = false;
         std::mt19937 chance(static_cast<unsigned>(order[0] * 64 + order[1] * 16 + order[2] * 4 + order[3]));
@@ -396,7 +397,7 @@
             if (what == 1) world.beat(at, "i-1", {51});
             if (what == 2) world.leave(at, "i-1"), gone = true;
             if (what == 3) world.beat(at, "i-1", {1, "accepting", "10.9.0.2:80"}), gone = false;
-            world.run(millis(30));
+            world.run(milliseconds(30));
         }
         for (const std::string& at : {a, b, c}) {
             EXPECT_EQ(world.standing(at, "i-1"), gone ? "gone" : "accepting")
@@ -410,15 +411,15 @@
     for (const bool cold : {true, false})
         for (const bool deleted : {true, false}) {
             World world(3, 0, 5);
-            world.run(millis(1500));
+            world.run(milliseconds(1500));
             world.await(a, world.beat(a, "i-1", {50}));
             if (deleted) world.await(a, world.leave(a, "i-1"));
-            world.run(millis(300));
+            world.run(milliseconds(300));
             const std::string before = world.standing(b, "i-1");
             world.await(b, world.beat(b, "i-1", {1, "winding_down"}));
             EXPECT_EQ(world.standing(b, "i-1"), before);  // as one that was overtaken
             EXPECT_EQ(world.kind(b, world.lastCall), deleted ? Kind::taken : Kind::unready);
-            if (!cold) world.run(StoreRegistry::lateBeats * millis(1000));
+            if (!cold) world.run(StoreRegistry::lateBeats * milliseconds(1000));
             world.await(b, world.beat(b, "i-1", {2, "accepting", "10.9.0.1:80", cold ? 20'000 : 0}));
             world.await(c, world.beat(c, "i-1", {3, "winding_down"}));
             for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "winding_down");
@@ -428,11 +429,11 @@
 // A store that starts slowly says less of it with each call; one that comes late says more than the last.
 TEST(Calls, OfASlowStartThatWereOvertakenAreNoNewLife) {
     World world(3, 0, 5);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     world.await(a, world.beat(a, "i-1", {1, "accepting", "10.9.0.1:80", 20'000}));
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     world.await(b, world.beat(b, "i-1", {3, "winding_down", "10.9.0.1:80", 17'000}));
-    world.run(millis(500));
+    world.run(milliseconds(500));
     const auto late = world.beat(c, "i-1", {2, "accepting", "10.9.0.1:80", 18'500});
     world.await(c, late);
     EXPECT_EQ(world.kind(c, late), Kind::taken);
@@ -441,9 +442,9 @@
 
 TEST(Calls, ThatAProcessFindsWhenItWakesAreNoNewLife) {
     World world(1, 0, 5);
-    world.run(millis(500));
+    world.run(milliseconds(500));
     world.beat(a, "i-1", {3, "winding_down"});
-    world.now += millis(20'000);
+    world.now += milliseconds(20'000);
     const auto late = world.beat(a, "i-1", {2});
     world.await(a, late);
     EXPECT_EQ(world.kind(a, late), Kind::taken);
@@ -457,14 +458,14 @@
     do {
         for (const int gap_ms : {0, 2, 5, 400}) {
             World world(3, 0, ++seed);
-            world.run(millis(1500));
+            world.run(milliseconds(1500));
             std::vector<std::pair<std::string, std::uint64_t>> calls(4);
             for (const int what : order) {
                 const std::string at = what == 0 ? a : what == 3 ? c : b;
                 calls[static_cast<std::size_t>(what)] = {at, world.put(at, 7, what < 2 ? "X" : "Y")};
-                world.run(millis(gap_ms));
+                world.run(milliseconds(gap_ms));
             }
-            world.run(millis(950));
+            world.run(milliseconds(950));
             const auto read = world.get(a);
             ASSERT_TRUE(read);
             for (int what = 0; what < 4; ++what) {
@@ -480,7 +481,7 @@
 
 TEST(Calls, ThatRepeatAnOrderAreAcknowledgedAfterManyOthers) {
     World world(3, 0, 5);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const auto put = [&](const std::string& at, std::uint64_t edition, const std::string& mark) {
         const auto no = world.put(at, edition, mark);
         world.await(at, no);
@@ -503,7 +504,7 @@
     // Restarted all at once, they know it still.
     for (const std::string& at : {a, b, c}) world.kill(at);
     for (const std::string& at : {a, b, c}) world.start(at);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     EXPECT_EQ(put(b, 10, "other"), Kind::conflict);
     EXPECT_EQ(put(b, edition, "later"), Kind::taken);
 }
@@ -513,7 +514,7 @@
     for (unsigned seed = 0; seed < seeds; ++seed) {
         World world(3, static_cast<int>(seed % 3), seed);
         std::mt19937 chance(seed);
-        world.run(millis(3500));
+        world.run(milliseconds(3500));
         std::map<std::uint64_t, std::set<std::string>> taken;
         std::uint64_t highest = 0;
         for (int round = 0; round < 4; ++round) {
@@ -528,9 +529,9 @@
                 const std::uint64_t edition = 10u * static_cast<unsigned>(round + 1) + chance() % 4;
                 const std::string mark = std::to_string(chance() % 2);
                 orders.push_back({at, mark, edition, world.put(at, edition, mark)});
-                world.run(millis(static_cast<int>(chance() % 3)));
+                world.run(milliseconds(static_cast<int>(chance() % 3)));
             }
-            world.run(millis(1000));
+            world.run(milliseconds(1000));
             world.heal();
             for (const Order& each : orders) {
                 ASSERT_TRUE(world.answered(each.at, each.no)) << "seed " << seed;
@@ -538,7 +539,7 @@
                 taken[each.edition].insert(each.mark);
                 highest = std::max(highest, each.edition);
             }
-            world.run(millis(500));
+            world.run(milliseconds(500));
         }
         for (const auto& [edition, marks] : taken) EXPECT_EQ(marks.size(), 1u) << seed << " " << edition;
         const auto read = world.get(a);
@@ -552,10 +553,10 @@
 
 // What had no majority in time is sent again to the next member, as the operator does.
 TEST(Calls, OfEightOperatorsAtNineMembersAreAllAcknowledgedSoon) {
-    Nanos longest = 0;
+    Nanoseconds longest = 0;
     for (unsigned seed = 0; seed < 3; ++seed) {
         World world(3, 6, seed);
-        world.run(millis(8000));
+        world.run(milliseconds(8000));
         ASSERT_EQ(world.members[a].control->state(world.now)["voters"].size(), 9u);
         struct Order {
             int member;
@@ -563,13 +564,13 @@
             bool taken = false;
         };
         std::vector<Order> orders;
-        const Nanos from = world.now;
+        const Nanoseconds from = world.now;
         const auto send = [&](int i) {
             Order& order = orders[static_cast<std::size_t>(i)];
             order.no = world.put(World::address(order.member), 10u + static_cast<unsigned>(i), "x");
         };
         for (int i = 0; i < 8; ++i) orders.push_back({i}), send(i);
-        for (int left = 8; left > 0 && world.now - from < millis(5000); world.step())
+        for (int left = 8; left > 0 && world.now - from < milliseconds(5000); world.step())
             for (int i = 0; i < 8; ++i) {
                 Order& order = orders[static_cast<std::size_t>(i)];
                 const std::string at = World::address(order.member);
@@ -581,7 +582,8 @@
         for (const Order& order : orders) EXPECT_TRUE(order.taken) << "seed " << seed;
         longest = std::max(longest, world.now - from);
     }
-    std::printf("eight orders at nine members: all within %d ms\n", static_cast<int>(longest / millis(1)));
+    std::printf("eight orders at nine members: all within %d ms\n",
+                static_cast<int>(longest / milliseconds(1)));
 }
 
 TEST(EditionLog, KeepsTheLastEditionsAndReadsWhatWasWrittenBeforeIt) {
--- a/tests/system/disks.cpp
+++ b/tests/system/disks.cpp
@@ -14,7 +14,6 @@
 using namespace granitereel::control;
 using standins::FaultyDisk;
 using World = standins::ControlWorld;
-using std::chrono::milliseconds;
 
 unsigned seedsOr(unsigned few) {
     const char* const more = std::getenv("SEEDS");
@@ -291,7 +290,8 @@
         lives.under.CreateDir("/data");
         lives.under.backend().syncFolder("/");
         lives.live(0);
-        writer = std::make_unique<DiskWriter>(std::move(lives.disk), reports.sink(), milliseconds(1));
+        writer =
+            std::make_unique<DiskWriter>(std::move(lives.disk), reports.sink(), std::chrono::milliseconds(1));
     }
 };
 
@@ -319,7 +319,7 @@
     world.lives.under.hang(true);
     world.writer->submit({{"a", 1}}, 1);
     world.lives.under.awaitHanging();
-    EXPECT_FALSE(world.writer->stop(milliseconds(1)));
+    EXPECT_FALSE(world.writer->stop(std::chrono::milliseconds(1)));
     world.lives.under.hang(false);
     EXPECT_TRUE(world.writer->stop(std::chrono::seconds(20)));
 }
@@ -404,10 +404,10 @@
     const auto took = std::chrono::steady_clock::now() - begun;
     EXPECT_EQ(records.at("slot/config").at("ar"), changes);
     EXPECT_EQ(disk->incarnation(), "1");
-    EXPECT_LT(took, milliseconds(500));
+    EXPECT_LT(took, std::chrono::milliseconds(500));
     EXPECT_LT(largest, 32u << 20);  // a quarter of a disk of 128 MB
     std::cout << changes << " changes: at most " << largest << " bytes, opened in "
-              << std::chrono::duration_cast<milliseconds>(took).count() << " ms\n";
+              << std::chrono::duration_cast<std::chrono::milliseconds>(took).count() << " ms\n";
     std::filesystem::remove_all(folder);
 }
 
@@ -415,40 +415,40 @@
     // The proposer's own disk, or the other voter's, takes long; the third voter is away.
     for (const int slow : {0, 1}) {
         World world(3, 0, 7);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         world.kill(World::address(2));
-        world.members[World::address(slow)].syncTakes = millis(300);
+        world.members[World::address(slow)].syncTakes = milliseconds(300);
         const auto call = world.put(World::address(0), 5, "kept");
-        world.run(millis(250));
+        world.run(milliseconds(250));
         EXPECT_FALSE(world.taken(World::address(0), call)) << slow;
-        world.run(millis(600));
+        world.run(milliseconds(600));
         EXPECT_TRUE(world.taken(World::address(0), call)) << slow;
     }
 }
 
 TEST(Members, GoOnWhileTheDiskOfOneHangs) {
     World world(3, 0, 9);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const std::string sick = World::address(1);
-    world.members[sick].syncTakes = millis(7000);
+    world.members[sick].syncTakes = milliseconds(7000);
     world.put(World::address(0), 5, "a");
     for (int i = 0; i < 30; ++i) {
-        world.run(millis(200));
+        world.run(milliseconds(200));
         EXPECT_GT(world.members[sick].control->state(world.now)["lease_left_ms"].get<int>(), 0) << i;
     }
     EXPECT_EQ(world.members[sick].control->state(world.now)["disk"], "slow");
     // What it can't hold is held by the two others.
     const auto call = world.put(sick, 6, "b");
-    world.run(millis(100));
+    world.run(milliseconds(100));
     EXPECT_TRUE(world.taken(sick, call));
     world.members[sick].syncTakes = 0;
-    world.run(millis(2500));
+    world.run(milliseconds(2500));
     EXPECT_EQ(world.members[sick].control->state(world.now)["disk"], "ok");
 }
 
 TEST(Members, FoundNoCoreAgainAfterALostDisk) {
     World world(3, 0, 13);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     for (int i = 0; i < 3; ++i) {
         const std::string name = World::address(i);
         world.kill(name, true);
@@ -456,7 +456,7 @@
         world.members[name].disk["after_loss"] = true;
         world.start(name);
     }
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     for (auto& [name, m] : world.members) EXPECT_EQ(m.control->state(world.now)["epoch"], 0) << name;
 }
 
@@ -467,10 +467,10 @@
             kill(name);
             start(name);
         }
-        run(millis(1500));
+        run(milliseconds(1500));
     }
     // Who asks the store of a service that has no lead, within the time.
-    std::set<std::string> askers(Nanos time) {
+    std::set<std::string> askers(Nanoseconds time) {
         for (auto& [name, m] : members) m.storeAsks = 0;
         run(time);
         std::set<std::string> found;
@@ -492,8 +492,8 @@
                                                .dump(),
                                            world.now);
     world.carry(other);
-    world.run(millis(500));
-    const auto owners = world.askers(millis(2600));
+    world.run(milliseconds(500));
+    const auto owners = world.askers(milliseconds(2600));
     ASSERT_EQ(owners.size(), 1u);
     const std::string sick = *owners.begin();
     World::Member& member = world.members[sick];
@@ -501,30 +501,30 @@
     member.refuses = true;
     const std::string well = sick == World::address(0) ? World::address(1) : World::address(0);
     const auto first = world.put(well, 5, "a");
-    world.run(millis(400));
+    world.run(milliseconds(400));
     EXPECT_TRUE(world.taken(well, first));
     EXPECT_EQ(member.control->state(world.now)["disk"], "refuses");
     const int writes = member.writes;
     const auto refused = world.put(sick, 6, "b");
-    world.run(millis(400));
+    world.run(milliseconds(400));
     EXPECT_EQ(member.answers[refused].first, Kind::unready);
     const auto second = world.put(well, 7, "c");
-    world.run(millis(1000));
+    world.run(milliseconds(1000));
     EXPECT_TRUE(world.taken(well, second));
     EXPECT_EQ(member.writes, writes);  // no vote
-    const auto later = world.askers(millis(2600));
+    const auto later = world.askers(milliseconds(2600));
     EXPECT_FALSE(later.count(sick));
     EXPECT_EQ(later.size(), 1u);
     // Back by itself.
     member.refuses = false;
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     EXPECT_EQ(member.control->state(world.now)["disk"], "ok");
     EXPECT_EQ(std::count_if(member.log.begin(), member.log.end(),
                             [](const std::string& line) { return line.find("the disk is") == 0; }),
               2);
-    EXPECT_EQ(world.askers(millis(2600)), owners);
+    EXPECT_EQ(world.askers(milliseconds(2600)), owners);
     const auto third = world.put(sick, 8, "d");
-    world.run(millis(400));
+    world.run(milliseconds(400));
     EXPECT_TRUE(world.taken(sick, third));
 }
 
@@ -535,17 +535,17 @@
         World world(3, static_cast<int>(seed % 3), seed);
         const int size = static_cast<int>(world.members.size());
         std::mt19937 chance(seed + 5000);
-        world.run(millis(3500));
+        world.run(milliseconds(3500));
         std::uint64_t edition = 10, acknowledged = 0;
         for (int round = 0; round < 10; ++round) {
             for (auto& [name, m] : world.members) {
-                m.syncTakes = millis(static_cast<int>(chance() % 4 ? chance() % 40 : chance() % 400));
+                m.syncTakes = milliseconds(static_cast<int>(chance() % 4 ? chance() % 40 : chance() % 400));
                 m.refuses = chance() % 8 == 0;
             }
             const std::string at = World::address(static_cast<int>(chance() % size));
             ++edition;
             const auto call = world.put(at, edition, std::to_string(edition));
-            world.run(millis(static_cast<int>(chance() % 1200)));
+            world.run(milliseconds(static_cast<int>(chance() % 1200)));
             if (world.taken(at, call)) acknowledged = edition;
             const bool all = chance() % 2;
             const std::string victim = World::address(static_cast<int>(chance() % size));
@@ -556,7 +556,7 @@
                 m.refuses = false;
                 if (!m.control) world.start(name);
             }
-            world.run(millis(3000));
+            world.run(milliseconds(3000));
             const auto read = world.get(World::address(static_cast<int>(chance() % size)));
             ASSERT_TRUE(read || acknowledged == 0) << "seed " << seed << " round " << round;
             if (read) {
@@ -570,15 +570,15 @@
 
 TEST(Members, ShareSyncsAmongChangesThatComeTogether) {
     World world(3, 0, 31);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     World::Member& voter = world.members[World::address(1)];
-    voter.syncTakes = millis(20);
+    voter.syncTakes = milliseconds(20);
     const int writes = voter.writes, syncs = voter.syncs;
     for (std::uint64_t change = 1; change <= 20; ++change) {
         world.put(World::address(0), change, "x");
-        world.run(millis(5));
+        world.run(milliseconds(5));
     }
-    world.run(millis(500));
+    world.run(milliseconds(500));
     std::cout << voter.writes - writes << " writes, " << voter.syncs - syncs << " syncs for 20 changes\n";
     EXPECT_LT(2 * (voter.syncs - syncs), voter.writes - writes);
 }
--- a/tests/system/gossip.cpp
+++ b/tests/system/gossip.cpp
@@ -242,7 +242,7 @@
     world.wires.at(world.wires.at(link).linkAtReceiver).packets.clear();  // the answer
     for (std::uint64_t edition = 2; edition < 12; ++edition) {
         world.at(2).put("config", {{edition, 0}, {{"edition", edition}}});
-        world.pass(millis(500));
+        world.pass(milliseconds(500));
     }
     EXPECT_TRUE(world.at(1).complete(link));
     EXPECT_TRUE(world.equal(1, 2));
@@ -318,7 +318,7 @@
 
 // ---- how records end ------------------------------------------------------------------------------
 
-constexpr Nanos minute = millis(60'000);
+constexpr Nanoseconds minute = milliseconds(60'000);
 
 TEST(Tombstones, EndAtTheSameAgeEverywhere) {
     GossipWorld world;
@@ -329,7 +329,7 @@
     world.connect(2, 1);
     world.settle();
     ASSERT_TRUE(world.at(2).board().find("store/a"));
-    world.pass(minute + millis(2'000));
+    world.pass(minute + milliseconds(2'000));
     EXPECT_FALSE(world.at(1).board().find("store/a"));
     EXPECT_FALSE(world.at(2).board().find("store/a"));
     // A register's value is no tombstone, however old.
@@ -352,7 +352,7 @@
             world.settle();
             world.cut(link);
             world.nodes[2].inContact = world.nodes[3].inContact = false;
-            world.pass(millis(500));
+            world.pass(milliseconds(500));
             world.at(1).put("store/dead", {{2, 0}, nullptr});
             world.pass(halves * minute / 4);
             if (through) world.connect(3, 2);
@@ -364,7 +364,7 @@
             ASSERT_TRUE(!world.at(1).board().find("store/dead") ||
                         world.at(1).board().find("store/dead")->body.is_null());
             world.nodes[returning].inContact = true;
-            world.pass(board::confirmedWithin + millis(3'000));
+            world.pass(board::confirmedWithin + milliseconds(3'000));
             for (const int node : {1, returning}) {
                 const Record* dead = world.at(node).board().find("store/dead");
                 ASSERT_TRUE(!dead || dead->body.is_null()) << halves << " " << through << " at " << node;
@@ -392,7 +392,7 @@
     world.at(0).put("store/dead", {{2, 0}, nullptr});
     for (int node = 1; node < 7; ++node) {
         world.nodes[node].inContact = false;
-        world.pass(board::isolationLimit - millis(5'000));
+        world.pass(board::isolationLimit - milliseconds(5'000));
         world.nodes[node + 1].inContact = false;
         world.start(node + 1);
         world.connect(node + 1, node);
@@ -403,7 +403,7 @@
     world.connect(7, 0);
     world.settle();
     world.nodes[7].inContact = true;
-    world.pass(board::confirmedWithin + millis(2'000));
+    world.pass(board::confirmedWithin + milliseconds(2'000));
     for (const int node : {0, 7}) EXPECT_FALSE(world.at(node).board().find("store/dead")) << node;
 }
 
@@ -421,11 +421,11 @@
     EXPECT_TRUE(world.at(3).board().find(storeName(1)));
     // Control is there again and hears of the store anew, below the version that was held.
     world.nodes[1].inContact = true;
-    world.pass(millis(2'000));
+    world.pass(milliseconds(2'000));
     world.at(1).put(storeName(1), {{1, 5}, storeBody(1)});
     world.settle();
     world.nodes[2].inContact = world.nodes[3].inContact = true;
-    world.pass(board::confirmedWithin + millis(2'000));
+    world.pass(board::confirmedWithin + milliseconds(2'000));
     for (const int node : {1, 2, 3}) EXPECT_TRUE(world.at(node).board().find(storeName(1))) << node;
 }
 
@@ -452,7 +452,7 @@
             }
             return names;
         };
-        for (Nanos passed = 0; passed < board::renewedWithin - minute; passed += minute) {
+        for (Nanoseconds passed = 0; passed < board::renewedWithin - minute; passed += minute) {
             world.pass(minute);
             ASSERT_TRUE(takeDown().empty());
         }
@@ -472,7 +472,7 @@
         if (!comesBack) continue;
         world.connect(3, 1);
         world.nodes[3].inContact = true;
-        world.pass(millis(3'000));
+        world.pass(milliseconds(3'000));
         for (const int node : {1, 2, 3}) {
             const Record* back = world.at(node).board().find("front/3");
             EXPECT_TRUE(back && back->body.is_object()) << node;
@@ -505,7 +505,7 @@
     world.pass(3 * board::renewedWithin);
     world.connect(2, 1);
     world.nodes[1].inContact = true;
-    world.pass(millis(1'000));
+    world.pass(milliseconds(1'000));
     EXPECT_TRUE(world.at(1).overdue().empty());
     world.pass(board::renewedWithin + minute);
     EXPECT_TRUE(world.at(1).overdue().empty());
@@ -526,7 +526,7 @@
     world.pass(30 * minute);
     for (auto& [name, node] : world.nodes) node.inContact = true;
     for (int second = 0; second < 30; ++second) {
-        world.pass(millis(1'000));
+        world.pass(milliseconds(1'000));
         if (second == 1 && world.at(1).unconfirmed(storeName(1)))
             world.at(1).put(storeName(1), {{2, 0}, storeBody(1)});
         for (int node = 1; node <= nodes; ++node) {
@@ -569,7 +569,7 @@
 // has a lease.
 TEST(Gate, GivesAnAgentNoLeaseBeforeItHasWhatItsParentHeld) {
     for (int asksAfter = 0; asksAfter < 8; ++asksAfter) {
-        Nanos now = millis(1'000'000);
+        Nanoseconds now = milliseconds(1'000'000);
         settings::Settings settings;
         settings.station = "proxy-1";
         settings.ip = "10.0.0.9";
@@ -607,7 +607,7 @@
             }
         }
         EXPECT_EQ(agent.board().find("lead/svc")->body.at("store"), "new");
-        agent.tick(now += millis(200));
+        agent.tick(now += milliseconds(200));
         for (const auto& said : agent.take())
             if (said.message["k"] == "lease?")
                 agent.heard(2, {{"k", "lease"}, {"t", said.message["t"]}, {"left", 1}, {"c", Json::object()}},
@@ -618,11 +618,11 @@
 
 // Which leads may change is forgotten only under a lease that lasts at least as long as the one it replaces.
 TEST(Gate, KeepsAnAgentsUnsettledLeadsUnderAShorterLease) {
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     agent::Agent agent(settings::Settings{}, now);
     agent.linkUp(9, now);
     auto answered = [&](std::int64_t left_us, const Json& unsettled) {
-        agent.tick(now += millis(200));
+        agent.tick(now += milliseconds(200));
         for (const auto& said : agent.take()) {
             if (said.message["k"] == board::Inventory::kind && said.link == 2)
                 agent.heard(2, board::Complete{said.message["exchange"], 0}.toJson(), now);
@@ -646,7 +646,7 @@
 TEST(Gate, GivesAMemberNoLeaseBeforeItHasWhatTheVotersHeld) {
     const std::string self = "10.0.0.1:80", voter = "10.0.0.2:80";
     for (int asksAfter = 0; asksAfter < 8; ++asksAfter) {
-        Nanos now = millis(1'000'000);
+        Nanoseconds now = milliseconds(1'000'000);
         settings::Settings settings;
         settings.controlAddress = self;
         const Json core{{"epoch", 1}, {"voters", {self, voter, "10.0.0.3:80"}}};
@@ -695,7 +695,7 @@
             }
         }
         EXPECT_EQ(lead(), "new");
-        member.tick(now += millis(200));
+        member.tick(now += milliseconds(200));
         answerAll();
         for (; !toMember.empty(); toMember.pop_front()) member.heard(2, toMember.front(), now);
         EXPECT_TRUE(leased());
@@ -717,8 +717,8 @@
     const auto leased = [&] {
         return world.members[restarted].control->state(world.now)["lease_left_ms"].get<int>() > 0;
     };
-    world.run(millis(1500));
-    Nanos startedAt = 0, caughtUpAt = 0;
+    world.run(milliseconds(1500));
+    Nanoseconds startedAt = 0, caughtUpAt = 0;
     for (std::uint64_t change = 1; change <= changes; ++change) {
         world.members[taker].control->call(++world.lastCall, "PUT", {"config"}, configOf(change, 300).dump(),
                                            world.now);
@@ -739,11 +739,11 @@
         }
     }
     ASSERT_GT(caughtUpAt, 0);
-    EXPECT_LT(caughtUpAt - startedAt, millis(withinMs));
-    world.run(millis(300));
+    EXPECT_LT(caughtUpAt - startedAt, milliseconds(withinMs));
+    world.run(milliseconds(300));
     EXPECT_EQ(edition(restarted), changes);
     EXPECT_TRUE(leased());
     std::printf("up to date %ld ms after its start\n",
-                static_cast<long>((caughtUpAt - startedAt) / millis(1)));
+                static_cast<long>((caughtUpAt - startedAt) / milliseconds(1)));
 }
 }  // namespace
--- a/tests/system/history.cpp
+++ b/tests/system/history.cpp
@@ -32,24 +32,24 @@
 class Trial {
 public:
     Trial(int members, unsigned seed) : size_(members), world_(3, members - 3, seed), chance_(seed + 77) {
-        world_.run(millis(1500 + 900 * members));
+        world_.run(milliseconds(1500 + 900 * members));
     }
 
     void run() {
         for (int round = 0; round < 8; ++round) {
-            const Nanos until = world_.now + millis(400 + below(2200));
+            const Nanoseconds until = world_.now + milliseconds(400 + below(2200));
             for (int troubles = 1 + below(2); troubles > 0; --troubles) trouble();
             while (world_.now < until) {
                 call();
-                step(millis(1 + below(120)));
+                step(milliseconds(1 + below(120)));
             }
             heal();
-            step(millis(below(2) ? 200 : 3500));
+            step(milliseconds(below(2) ? 200 : 3500));
         }
         heal();
-        step(millis(5000));
+        step(milliseconds(5000));
         for (int i = 0; i < size_; ++i) read(World::address(i));
-        step(millis(1000));
+        step(milliseconds(1000));
     }
     const RegisterHistory& history() const { return history_; }
     std::size_t answered() const { return answered_; }
@@ -73,8 +73,8 @@
     int below(int bound) { return static_cast<int>(chance_() % static_cast<unsigned>(bound)); }
     std::string anyone() { return World::address(below(size_)); }
 
-    void step(Nanos time) {
-        for (const Nanos until = world_.now + time; world_.now < until;) {
+    void step(Nanoseconds time) {
+        for (const Nanoseconds until = world_.now + time; world_.now < until;) {
             world_.step();
             collect();
         }
@@ -157,7 +157,7 @@
                     world_.kill(name);
                 }
                 for (int i = 0; i < size_; ++i)
-                    if (below(4)) start(World::address(i)), step(millis(below(200)));
+                    if (below(4)) start(World::address(i)), step(milliseconds(below(200)));
         }
     }
     void cutBetween(const std::set<std::string>& some) {
@@ -172,7 +172,7 @@
         std::set<std::string> side;
         while (static_cast<int>(side.size()) < (size_ - 1) / 2) side.insert(anyone());
         cutBetween(side);
-        for (int i = 0; i < 4; ++i) call(), step(millis(60));
+        for (int i = 0; i < 4; ++i) call(), step(milliseconds(60));
         std::string changes = anyone();
         while (side.count(changes)) changes = anyone();
         world_.frozen.clear();
@@ -180,7 +180,7 @@
         side.insert(changes);
         cutBetween(side);
         start(changes);
-        step(millis(1000 + below(1500)));
+        step(milliseconds(1000 + below(1500)));
         for (const std::string& name : side) read(name);
     }
     void start(const std::string& name) {
--- a/tests/system/in_force.cpp
+++ b/tests/system/in_force.cpp
@@ -7,11 +7,11 @@
 #include "standins/control_world.hpp"
 
 namespace {
-using granitereel::millis;
-using granitereel::Nanos;
+using granitereel::milliseconds;
+using granitereel::Nanoseconds;
 using granitereel::standins::ControlWorld;
 
-constexpr Nanos inForceWithin = millis(3'000);
+constexpr Nanoseconds inForceWithin = milliseconds(3'000);
 
 unsigned seeds() {
     const char* given = std::getenv("SEEDS");
@@ -28,11 +28,11 @@
 std::uint64_t ordersAtOnce(ControlWorld& world, const std::string& one, const std::string& other,
                            std::uint64_t edition) {
     const auto first = world.put(one, edition, "first");
-    const Nanos beginsBehind = millis(static_cast<int>(world.chance() % 5));
+    const Nanoseconds beginsBehind = milliseconds(static_cast<int>(world.chance() % 5));
     world.run(beginsBehind);
     const auto second = world.put(other, edition + 1, "second");
     std::uint64_t acknowledged = 0;
-    for (const Nanos until = world.now + millis(1'200); world.now < until; world.step()) {
+    for (const Nanoseconds until = world.now + milliseconds(1'200); world.now < until; world.step()) {
         if (world.taken(one, first)) acknowledged = std::max(acknowledged, edition);
         if (!world.members.at(other).control || !world.taken(other, second)) continue;
         acknowledged = edition + 1;
@@ -44,19 +44,19 @@
 TEST(InForce, IsWhatAMemberThatDiedAcknowledgedBesideAnothersOrder) {
     for (unsigned seed = 1; seed <= seeds(); ++seed) {
         ControlWorld world(3, 0, seed);
-        world.run(millis(31'000));  // what a start alone would repair is over
+        world.run(milliseconds(31'000));  // what a start alone would repair is over
         for (std::uint64_t edition = 1; edition < 24; edition += 2) {
             // Always the same dies: a start repairs for half a minute what the others must repair without.
             const std::string one = ControlWorld::address(static_cast<int>(edition / 2 % 2));
             const std::string other = ControlWorld::address(2);
             const std::uint64_t acknowledged = ordersAtOnce(world, one, other, edition);
-            world.run(inForceWithin - millis(1'200));
+            world.run(inForceWithin - milliseconds(1'200));
             for (auto& [name, member] : world.members) {
                 if (!member.control) continue;
                 ASSERT_GE(editionAt(world, name), acknowledged) << name << ", seed " << seed;
             }
             if (!world.members.at(other).control) world.start(other);
-            world.run(millis(1'500));
+            world.run(milliseconds(1'500));
         }
     }
 }
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -53,19 +53,20 @@
 TEST(Horizon, CoversWhatWasAcknowledgedBefore) {
     Horizon horizon;
     EXPECT_FALSE(horizon.covering(0));
-    horizon.saw({1, 10}, millis(1000));
-    horizon.saw({1, 8},
-                millis(1100));  // overtaken on its way: shows less, and covers as much as the one before
-    horizon.saw({1, 20}, millis(1200));
-    horizon.saw({2, 21}, millis(1300));
-    EXPECT_EQ(*horizon.covering(millis(900)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1100)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1101)), (Mark{1, 20}));
-    EXPECT_FALSE(horizon.covering(millis(1301)));
-    EXPECT_EQ(*horizon.covering(millis(900), 2), (Mark{2, 21}));
-    EXPECT_EQ(*horizon.holds({1, 15}), millis(1100));
+    horizon.saw({1, 10}, milliseconds(1000));
+    horizon.saw(
+        {1, 8},
+        milliseconds(1100));  // overtaken on its way: shows less, and covers as much as the one before
+    horizon.saw({1, 20}, milliseconds(1200));
+    horizon.saw({2, 21}, milliseconds(1300));
+    EXPECT_EQ(*horizon.covering(milliseconds(900)), (Mark{1, 10}));
+    EXPECT_EQ(*horizon.covering(milliseconds(1100)), (Mark{1, 10}));
+    EXPECT_EQ(*horizon.covering(milliseconds(1101)), (Mark{1, 20}));
+    EXPECT_FALSE(horizon.covering(milliseconds(1301)));
+    EXPECT_EQ(*horizon.covering(milliseconds(900), 2), (Mark{2, 21}));
+    EXPECT_EQ(*horizon.holds({1, 15}), milliseconds(1100));
     EXPECT_FALSE(horizon.holds({1, 9}));
-    EXPECT_EQ(*horizon.holds({3, 1}), millis(1300));
+    EXPECT_EQ(*horizon.holds({3, 1}), milliseconds(1300));
 }
 
 std::string settings(const std::string& text) {
@@ -146,7 +147,7 @@
     s.ip = "10.0.0.9";
     s.district = "here";
     s.seeds = {"10.1.0.1:80", "10.2.0.1:80"};
-    Nanos now = millis(1000);
+    Nanoseconds now = milliseconds(1000);
     agent::Agent agent(s, now);
     EXPECT_EQ(agent.parents().size(), 2u);
     auto news = [&](const std::string& name, const char* ip, const char* district) {
@@ -166,7 +167,7 @@
         if (said.link == 6 && said.message["k"] == board::Inventory::kind)
             agent.heard(6, board::Complete{said.message["exchange"], 0}.toJson(), now);
     for (int i = 0; i < 5; ++i) {
-        agent.tick(now += millis(200));
+        agent.tick(now += milliseconds(200));
         for (const auto& said : agent.take())
             if (said.message["k"] == "lease?")
                 agent.heard(6,
@@ -176,8 +177,8 @@
                              {"c", nlohmann::json::object()}},
                             now);
     }
-    EXPECT_EQ(agent.leaseUntil(), now + millis(600));
-    for (int i = 0; i < 6; ++i) agent.tick(now += millis(200));
+    EXPECT_EQ(agent.leaseUntil(), now + milliseconds(600));
+    for (int i = 0; i < 6; ++i) agent.tick(now += milliseconds(200));
     EXPECT_LT(agent.leaseUntil(), now);
     EXPECT_EQ(agent.betterParent(), "10.1.0.1");
     // Where no member is in the district, its agents agree on who holds a link out of it; each further one
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -12,7 +12,7 @@
 
 TEST(Members, FoundOnceAndGiveVotesToThoseWhoStay) {
     World world(3, 2, 1);
-    world.run(millis(4000));
+    world.run(milliseconds(4000));
     for (auto& [name, m] : world.members) {
         const Json state = m.control->state(world.now);
         EXPECT_EQ(state["voters"].size(), 5u) << name;
@@ -22,9 +22,9 @@
     // Two of five may go; the rest takes changes.
     world.kill(World::address(0));
     world.kill(World::address(3));
-    world.run(millis(500));
+    world.run(milliseconds(500));
     const auto call = world.put(World::address(4), 3, "x");
-    world.run(millis(900));
+    world.run(milliseconds(900));
     EXPECT_TRUE(world.taken(World::address(4), call));
 }
 
@@ -33,16 +33,16 @@
     for (int writes = 0; writes < 10; ++writes)
         for (const int who : {0, 1}) {
             World world(3, 0, 7);
-            world.run(millis(1500));
+            world.run(milliseconds(1500));
             world.members[World::address(who)].writesLeft = writes;
             const auto call = world.put(World::address(0), 5, "kept");
-            world.run(millis(600));
+            world.run(milliseconds(600));
             const bool taken = world.taken(World::address(0), call);
             acknowledged += taken;
             // All lose power; then a member that is not the crashed one loses its disk.
             for (int i = 0; i < 3; ++i) world.kill(World::address(i), i == (who + 1) % 3);
             for (int i = 0; i < 3; ++i) world.start(World::address(i));
-            world.run(millis(4000));
+            world.run(milliseconds(4000));
             const auto read = world.get(World::address(2));
             if (taken) {
                 ASSERT_TRUE(read) << writes << " " << who;
@@ -54,22 +54,22 @@
 
 TEST(Members, GiveAnEmptyDiskNoVoteBeforeItHasReadTheState) {
     World world(3, 0, 3);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const auto call = world.put(World::address(0), 5, "kept");
-    world.run(millis(300));
+    world.run(milliseconds(300));
     ASSERT_TRUE(world.taken(World::address(0), call));
     world.kill(World::address(1), true);
     world.kill(World::address(2));
     world.start(World::address(1));
-    world.run(millis(5000));
+    world.run(milliseconds(5000));
     EXPECT_FALSE(world.members[World::address(1)].control->state(world.now)["votes"].get<bool>());
     world.start(World::address(2));
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     EXPECT_TRUE(world.members[World::address(1)].control->state(world.now)["votes"].get<bool>());
     world.kill(World::address(0));
     world.kill(World::address(2));
     world.start(World::address(2));
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const auto read = world.get(World::address(1));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->at("mark"), "kept");
@@ -80,10 +80,10 @@
     int told = 0;
     for (int writes = 1; writes < 5; ++writes) {
         World world(3, 2, 11);
-        world.run(millis(4000));
+        world.run(milliseconds(4000));
         world.members[World::address(3)].writesLeft = writes;
         world.put(World::address(3), 9, "x");
-        world.run(millis(2500));
+        world.run(milliseconds(2500));
         std::set<std::string> seen;
         for (auto& [name, m] : world.members)
             if (m.control) seen.insert(m.control->state(world.now)["edition"].dump());
@@ -98,7 +98,7 @@
     std::vector<int> order{0, 1, 2, 3};
     do {
         World world(1, 0, 5);
-        world.run(millis(200));
+        world.run(milliseconds(200));
         ControlMember& control = *world.members[World::address(0)].control;
         auto beat = [&](int seq, const char* standing) {
             control.call(++world.lastCall, "PUT", {"stores", "i-1"},
@@ -135,13 +135,13 @@
 
 TEST(Members, RefuseWhatIsNotSoundWithItsPlace) {
     World world(1, 0, 5);
-    world.run(millis(300));
+    world.run(milliseconds(300));
     const std::string at = World::address(0);
     ControlMember& control = *world.members[at].control;
     auto sent = [&](const std::string& body) {
         control.call(++world.lastCall, "PUT", {"config"}, body, world.now);
         world.carry(at);
-        world.run(millis(100));
+        world.run(milliseconds(100));
         return world.members[at].answers[world.lastCall];
     };
     const std::string route =
@@ -178,7 +178,7 @@
         const int size = seed % 3 == 0 ? 3 : seed % 3 == 1 ? 5 : 4;
         World world(3, size - 3, seed);
         std::mt19937 chance(seed + 1000);
-        world.run(millis(3500));
+        world.run(milliseconds(3500));
         std::uint64_t edition = 10, acknowledged = 0;
         std::vector<std::pair<std::string, std::uint64_t>> calls;
         for (int round = 0; round < 8; ++round) {
@@ -196,16 +196,16 @@
                     ++edition;
                     calls.emplace_back(at, world.put(at, edition, std::to_string(edition)));
                 }
-                world.run(millis(static_cast<int>(chance() % 700)));
+                world.run(milliseconds(static_cast<int>(chance() % 700)));
             }
-            world.run(millis(1200));
+            world.run(milliseconds(1200));
             for (std::size_t c = 0; c < calls.size(); ++c)
                 if (world.taken(calls[c].first, calls[c].second))
                     acknowledged = std::max(acknowledged, 11 + c);
             world.cut.clear();
             world.members[victim].writesLeft = 1 << 30;
             if (!world.members[victim].control) world.start(victim);
-            world.run(millis(4000));
+            world.run(milliseconds(4000));
         }
         const auto read = world.get(World::address(static_cast<int>(chance() % size)));
         ASSERT_TRUE(read) << "seed " << seed;
@@ -217,7 +217,7 @@
 // were heard last; voters are not, as who votes is a register's to say.
 TEST(Members, TakeDownWhoDiedWithoutAWord) {
     standins::ControlWorld world(1, 0, 3);
-    world.run(millis(1500));
+    world.run(milliseconds(1500));
     const std::string self = standins::ControlWorld::address(0);
     ControlMember& member = *world.members[self].control;
     const auto& board = static_cast<Succession::Means&>(member).board();
@@ -235,17 +235,17 @@
     member.heard(link, news.toJson(), world.now);
     member.linkDown(link, world.now);
     world.carry(self);
-    const auto pass = [&](Nanos time) {
-        for (const Nanos until = world.now + time; world.now < until;) {
-            world.now += millis(200);
+    const auto pass = [&](Nanoseconds time) {
+        for (const Nanoseconds until = world.now + time; world.now < until;) {
+            world.now += milliseconds(200);
             member.tick(world.now);
             world.carry(self);
         }
     };
-    pass(board::renewedWithin - millis(5'000));
+    pass(board::renewedWithin - milliseconds(5'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
         EXPECT_TRUE(board.find(name)->body.is_object()) << name;
-    pass(millis(10'000));
+    pass(milliseconds(10'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
         EXPECT_TRUE(board.find(name)->body.is_null()) << name;
     pass(board::renewedWithin);
@@ -256,12 +256,12 @@
 // not.
 TEST(Members, TakeDownNoVoter) {
     World world(3, 0, 4);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
     const auto& board = static_cast<Succession::Means&>(*world.members[here].control).board();
-    for (const Nanos until = world.now + 2 * board::renewedWithin; world.now < until;) {
-        world.now += millis(49);  // so that each step is one in which members tick
+    for (const Nanoseconds until = world.now + 2 * board::renewedWithin; world.now < until;) {
+        world.now += milliseconds(49);  // so that each step is one in which members tick
         world.step();
     }
     EXPECT_GT(world.members[here].control->state(world.now)["lease_left_ms"].get<int>(), 0);
