--- a/tests/system/membership.cpp
+++ b/tests/system/membership.cpp
@@ -117,8 +117,8 @@
         Membership membership(at(0), settings::Settings(), means, 0);
         membership.adopted({1, {at(0), at(1), at(2)}}, 0);
         membership.told(at(2), {.leaving = true});
-        Nanos now = 0;
-        for (; now <= millis(400); now += millis(50)) {
+        Nanoseconds now = 0;
+        for (; now <= milliseconds(400); now += milliseconds(50)) {
             membership.heard(at(1), now);
             membership.heard(at(4), now);
             membership.tick(true, now);
@@ -147,11 +147,11 @@
     Membership membership(at(0), settings::Settings(), means, 0);
     membership.adopted({1, {at(0), at(1), at(2)}}, 0);
     membership.heard(at(2), 0);
-    Nanos now = millis(5000);
+    Nanoseconds now = milliseconds(5000);
     for (const MemberStanding standing :
          {MemberStanding{true, false}, MemberStanding{false, true}, MemberStanding{}}) {
         membership.told(at(4), standing);
-        for (const Nanos until = now + millis(2000); now < until; now += millis(100)) {
+        for (const Nanoseconds until = now + milliseconds(2000); now < until; now += milliseconds(100)) {
             membership.heard(at(1), now);
             membership.heard(at(4), now);
             membership.tick(true, now);
@@ -172,18 +172,18 @@
                 const int from = turn == 0 ? 0 : site.size - turn * site.tolerance;
                 for (int i = from; i < from + site.tolerance; ++i)
                     if (!planned) rig.kill(at(i));
-                if (!planned) rig.play(millis(1000));
+                if (!planned) rig.play(milliseconds(1000));
                 for (int i = 0; i < site.tolerance; ++i) rig.comes(20 + i);
-                const Nanos started = rig.now;
+                const Nanoseconds started = rig.now;
                 if (planned) {
-                    rig.play(millis(1000));
+                    rig.play(milliseconds(1000));
                     for (int i = from; i < from + site.tolerance; ++i) rig.leave(at(i));
                 }
-                rig.play(started + millis(syncIn_ms) - rig.now);
+                rig.play(started + milliseconds(syncIn_ms) - rig.now);
                 int left = site.tolerance;
                 for (int i = 0; i < site.size && left; ++i)
                     if (rig.members[at(i)].control) rig.kill(at(i)), --left;
-                EXPECT_TRUE(rig.takesWithin(millis(1000)))
+                EXPECT_TRUE(rig.takesWithin(milliseconds(1000)))
                     << site.size << (planned ? " planned " : " unplanned ") << turn;
             }
 }
@@ -197,14 +197,14 @@
                 Rig rig(3, 1, static_cast<unsigned>(after + next));
                 if (!planned) {
                     rig.kill(at(2));
-                    rig.play(millis(1000));
+                    rig.play(milliseconds(1000));
                 }
                 rig.comes(20);
                 if (planned) rig.leave(at(2));
-                rig.play(millis(after));
+                rig.play(milliseconds(after));
                 rig.kill(at(next));
                 // Its silence is no part of it: the loss is known at once or the call goes elsewhere.
-                if (!rig.takesWithin(millis(1000))) notBorne = std::max(notBorne, after);
+                if (!rig.takesWithin(milliseconds(1000))) notBorne = std::max(notBorne, after);
             }
         std::printf("%s: the next loss is not borne until %d ms after the successor's start\n",
                     planned ? "planned" : "unplanned", notBorne);
@@ -215,31 +215,31 @@
 TEST(Membership, KeepsAVoterThatWasCutOffAndReplacedFromServingWhatIsOld) {
     for (unsigned seed = 0; seed < 3; ++seed) {
         Rig rig(3, 1, seed);
-        ASSERT_TRUE(rig.takesWithin(millis(1000)));
+        ASSERT_TRUE(rig.takesWithin(milliseconds(1000)));
         rig.cutOff(at(static_cast<int>(seed)));
         const std::string cutOff = at(static_cast<int>(seed));
-        rig.play(millis(1500));
+        rig.play(milliseconds(1500));
         rig.comes(20);
         for (auto& [name, m] : rig.members)
             if (name != cutOff && seed % 2) rig.cut.insert({name, cutOff});
         rig.cutOff(cutOff);
         rig.send(cutOff);
-        rig.play(millis(1200));
+        rig.play(milliseconds(1200));
         EXPECT_FALSE(rig.readsAt(cutOff));
-        rig.play(millis(18'000));
+        rig.play(milliseconds(18'000));
         rig.send(at(20));
-        rig.play(millis(900));
+        rig.play(milliseconds(900));
         EXPECT_FALSE(rig.votersAt(at(20)).count(cutOff));
         EXPECT_FALSE(rig.readsAt(cutOff));
         rig.cutOff(cutOff, true);
         rig.cut.clear();
-        rig.play(millis(2000));
+        rig.play(milliseconds(2000));
         EXPECT_EQ(rig.epochAt(cutOff), rig.epochAt(at(20)));
         for (const std::string& name : rig.alive()) EXPECT_TRUE(rig.readsAt(name)) << name;
-        EXPECT_TRUE(rig.takesWithin(millis(1000)));
+        EXPECT_TRUE(rig.takesWithin(milliseconds(1000)));
         // Without its successor it votes again.
         rig.kill(at(20));
-        rig.play(millis(syncIn_ms));
+        rig.play(milliseconds(syncIn_ms));
         EXPECT_TRUE(rig.votersAt(cutOff).count(cutOff));
         EXPECT_TRUE(rig.readsAt(cutOff));
     }
@@ -249,20 +249,20 @@
     for (const int size : {5, 9})
         for (const int apart_ms : {0, 300, 2000}) {
             Rig rig(size, 2, static_cast<unsigned>(size + apart_ms));
-            ASSERT_TRUE(rig.takesWithin(millis(1000)));
+            ASSERT_TRUE(rig.takesWithin(milliseconds(1000)));
             for (const int who : {1, size - 1}) {
                 rig.kill(at(who), true);
-                rig.play(millis(200));
+                rig.play(milliseconds(200));
                 rig.start(at(who));
-                rig.play(millis(apart_ms));
+                rig.play(milliseconds(apart_ms));
             }
-            rig.play(millis(syncIn_ms));
+            rig.play(milliseconds(syncIn_ms));
             // All the others lose power; the two that were wiped hold what they have read.
             for (int i = 0; i < size; ++i) rig.kill(at(i));
             for (int i = 0; i < size; ++i) rig.start(at(i));
-            rig.play(millis(1500));
+            rig.play(milliseconds(1500));
             for (const std::string& name : rig.alive()) EXPECT_TRUE(rig.readsAt(name)) << size << name;
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << size << " " << apart_ms;
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << size << " " << apart_ms;
         }
 }
 
@@ -271,18 +271,18 @@
         for (const int wiped : {0, 1}) {
             Rig rig(5, 2, static_cast<unsigned>(after));
             rig.kill(at(4));
-            rig.play(millis(1200));
+            rig.play(milliseconds(1200));
             rig.comes(20);
             rig.send(at(2));
-            rig.play(millis(after));
+            rig.play(milliseconds(after));
             rig.kill(at(wiped), true);
-            rig.play(millis(300));
+            rig.play(milliseconds(300));
             rig.start(at(wiped));
-            rig.play(millis(syncIn_ms));
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << after;
+            rig.play(milliseconds(syncIn_ms));
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << after;
             rig.kill(at(2));
             rig.kill(at(3));
-            rig.play(millis(1000));
+            rig.play(milliseconds(1000));
             for (const std::string& name : rig.alive()) EXPECT_TRUE(rig.readsAt(name)) << after << name;
         }
 }
@@ -292,11 +292,11 @@
         Rig rig(size, 1, 5);
         for (int i = 0; i < size; ++i) {
             rig.leave(at(i));
-            EXPECT_LT(rig.untilEnded(at(i)), millis(1000)) << size << " " << i;
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << size << " " << i;
-            rig.play(millis(500));
+            EXPECT_LT(rig.untilEnded(at(i)), milliseconds(1000)) << size << " " << i;
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << size << " " << i;
+            rig.play(milliseconds(500));
             rig.start(at(i));
-            rig.play(millis(syncIn_ms / 2));
+            rig.play(milliseconds(syncIn_ms / 2));
         }
         EXPECT_GE(rig.votersAt(at(0)).size(), 3u);
         for (const std::string& voter : rig.votersAt(at(0)))
@@ -306,15 +306,15 @@
     Rig rig(3, 1, 6);
     rig.kill(at(0));
     rig.leave(at(1));
-    EXPECT_LT(rig.untilEnded(at(1)), millis(1000));
+    EXPECT_LT(rig.untilEnded(at(1)), milliseconds(1000));
     rig.leave(at(2));
-    EXPECT_LT(rig.untilEnded(at(2)), millis(1000));
+    EXPECT_LT(rig.untilEnded(at(2)), milliseconds(1000));
 }
 
 TEST(Membership, AnswersNoCallsWhileItLeavesAndPassesOnWhatItTook) {
     Rig rig(3, 1, 7);
     rig.comes(20);
-    rig.play(millis(100));
+    rig.play(milliseconds(100));
     ControlMember& leaver = *rig.members[at(1)].control;
     leaver.call(++rig.lastCall, "PUT", {"stores", "i-9"},
                 R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
@@ -322,7 +322,7 @@
     const std::uint64_t call = rig.put(at(1), 99, "late");
     ASSERT_TRUE(rig.members[at(1)].answers.count(call));
     EXPECT_EQ(rig.members[at(1)].answers[call].first, Kind::leaving);
-    EXPECT_LT(rig.untilEnded(at(1)), millis(1500));
+    EXPECT_LT(rig.untilEnded(at(1)), milliseconds(1500));
     for (const std::string& name : rig.alive()) {
         const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
         EXPECT_TRUE(means.board().find("store/i-9")) << name;
@@ -338,7 +338,7 @@
                 R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
     rig.send(at(1));
     rig.leave(at(1));
-    EXPECT_LT(rig.untilEnded(at(1)), millis(200));
+    EXPECT_LT(rig.untilEnded(at(1)), milliseconds(200));
     EXPECT_TRUE(rig.taken(at(1), rig.puts.back().call));
     for (const std::string& name : rig.alive()) {
         const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
@@ -351,7 +351,7 @@
     rig.start(at(2));
     rig.send(at(2));
     rig.leave(at(2));
-    EXPECT_LE(rig.untilEnded(at(2)), millis(550));
+    EXPECT_LE(rig.untilEnded(at(2)), milliseconds(550));
 }
 
 // What three of five hold is read after two of these three were replaced and the third was cut off.
@@ -360,16 +360,16 @@
     rig.cutOff(at(0));
     rig.cutOff(at(1));
     rig.send(at(2));
-    rig.play(millis(600));
+    rig.play(milliseconds(600));
     rig.note();
     ASSERT_EQ(rig.acknowledged, rig.edition);
     rig.kill(at(3));
     rig.kill(at(4));
     rig.cut.clear();
-    rig.play(millis(1000));
+    rig.play(milliseconds(1000));
     rig.comes(20);
     rig.comes(21);
-    rig.play(millis(syncIn_ms));
+    rig.play(milliseconds(syncIn_ms));
     ASSERT_EQ(rig.votersAt(at(2)), (Names{at(0), at(1), at(2), at(20), at(21)}));
     EXPECT_EQ(rig.censusAskers, Names{at(0)});
     rig.cutOff(at(2));
@@ -380,13 +380,13 @@
 TEST(Membership, GivesNoVoteToAnEmptyDiskThatHearsOfTheCoreFromARecord) {
     for (const int wiped : {0, 1, 2}) {
         Rig rig(3, 1, 11);
-        ASSERT_TRUE(rig.takesWithin(millis(1000)));
+        ASSERT_TRUE(rig.takesWithin(milliseconds(1000)));
         rig.kill(at(wiped), true);
-        rig.play(millis(100));
+        rig.play(milliseconds(100));
         rig.start(at(wiped));
-        rig.play(millis(600));
+        rig.play(milliseconds(600));
         EXPECT_FALSE(rig.stateOf(at(wiped))["votes"].get<bool>()) << wiped;
-        rig.play(millis(syncIn_ms));
+        rig.play(milliseconds(syncIn_ms));
         EXPECT_TRUE(rig.stateOf(at(wiped))["votes"].get<bool>()) << wiped;
     }
 }
@@ -398,16 +398,16 @@
         for (int steps = 0; steps < (byWrite ? 12 : 60); ++steps) {
             Rig rig(3, 1, static_cast<unsigned>(steps));
             rig.comes(20);
-            rig.play(millis(1000));
+            rig.play(milliseconds(1000));
             rig.send(at(1));
             (byWrite ? rig.members[at(1)].writesLeft : rig.members[at(1)].messagesLeft) = steps;
             rig.leave(at(1));
-            rig.play(millis(syncIn_ms / 2));
+            rig.play(milliseconds(syncIn_ms / 2));
             killedAmid += rig.endedInOrder == 0;
             EXPECT_FALSE(rig.members[at(1)].control);
             EXPECT_EQ(rig.votersAt(at(0)), (Names{at(0), at(2), at(20)})) << byWrite << steps;
             rig.kill(at(0));
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << byWrite << steps;
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << byWrite << steps;
             for (const std::string& name : rig.alive()) EXPECT_TRUE(rig.readsAt(name));
         }
     EXPECT_GT(killedAmid, 30);
@@ -417,21 +417,21 @@
     for (const bool oneWay : {true, false}) {
         Rig rig(3, 1, 8);
         rig.comes(20);
-        rig.play(millis(1000));
+        rig.play(milliseconds(1000));
         const std::uint64_t epoch = rig.epochAt(at(0));
         // The first voter, which judges first, and the last one miss each other; the others hear both.
         if (oneWay)
             rig.cutOneWay.insert({at(2), at(0)});
         else
             rig.cut.insert({at(0), at(2)});
-        rig.play(millis(20'000));
+        rig.play(milliseconds(20'000));
         EXPECT_EQ(rig.epochAt(at(1)), epoch) << oneWay;
-        EXPECT_TRUE(rig.takesWithin(millis(1000))) << oneWay;
+        EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << oneWay;
         rig.cut.clear();
         rig.cutOneWay.clear();
         // Cut off from all, it changes nothing; the others replace it.
         rig.cutOff(at(0));
-        rig.play(millis(3000));
+        rig.play(milliseconds(3000));
         EXPECT_EQ(rig.epochAt(at(0)), epoch);
         EXPECT_EQ(rig.votersAt(at(1)), (Names{at(1), at(2), at(20)}));
     }
@@ -449,15 +449,15 @@
             std::shuffle(order.begin(), order.end(), rig.chance);
             for (const int i : order) {
                 rig.start(at(i));
-                rig.play(millis(2000 / size));
+                rig.play(milliseconds(2000 / size));
             }
-            rig.play(millis(5000));
+            rig.play(milliseconds(5000));
             EXPECT_EQ(rig.votersAt(at(0)), voters) << size << " " << seed;
             EXPECT_EQ(rig.epochAt(at(0)), epoch) << size << " " << seed;
             for (int flap = 0; flap < 20; ++flap) {
                 const std::string voter = *voters.rbegin();
                 rig.cutOff(voter, flap % 2);
-                rig.play(millis(500));
+                rig.play(milliseconds(500));
             }
             EXPECT_EQ(rig.epochAt(at(0)), epoch) << size << " " << seed;
         }
@@ -473,7 +473,7 @@
             std::mt19937 chance(seed * 7 + 1);
             const int leaver = static_cast<int>(chance() % 3), lost = (leaver + 1) % 3;
             const bool kills = chance() % 2;
-            Nanos came = 0, firstLoss = 0, secondLoss = 0;
+            Nanoseconds came = 0, firstLoss = 0, secondLoss = 0;
             for (const int event : order) {
                 if (event == 0) rig.comes(20), came = rig.now;
                 if (event != 0) (firstLoss ? secondLoss : firstLoss) = rig.now;
@@ -482,21 +482,21 @@
                 if (event == 2) rig.kill(at(lost));
                 const std::vector<std::string> names = rig.alive();
                 if (!names.empty()) rig.send(names[chance() % names.size()]);
-                rig.play(millis(static_cast<int>(chance() % 1500)));
+                rig.play(milliseconds(static_cast<int>(chance() % 1500)));
             }
-            rig.play(millis(1000));
+            rig.play(milliseconds(1000));
             rig.note();
             // With the lost one back all goes on; and with both, where the second was lost before the
             // newcomer could take the place of the first.
             rig.returns(at(lost));
             const bool overTolerance =
-                secondLoss > came && secondLoss - std::max(came, firstLoss) < millis(syncIn_ms / 2);
+                secondLoss > came && secondLoss - std::max(came, firstLoss) < milliseconds(syncIn_ms / 2);
             if (overTolerance) rig.returns(at(leaver));
-            rig.play(millis(syncIn_ms));
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << seed << testing::PrintToString(order);
+            rig.play(milliseconds(syncIn_ms));
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << seed << testing::PrintToString(order);
             for (const std::string& name : rig.alive()) EXPECT_TRUE(rig.readsAt(name)) << seed;
             rig.kill(at(lost));
-            EXPECT_TRUE(rig.takesWithin(millis(1000))) << seed << testing::PrintToString(order);
+            EXPECT_TRUE(rig.takesWithin(milliseconds(1000))) << seed << testing::PrintToString(order);
         } while (std::next_permutation(order.begin(), order.end()));
     }
 }
@@ -515,7 +515,7 @@
             const std::string victim = names[chance() % names.size()];
             const unsigned trouble = chance() % 6;
             const bool replaced = trouble < 3;
-            if (trouble == 0) rig.comes(next++), rig.play(millis(static_cast<int>(chance() % 800)));
+            if (trouble == 0) rig.comes(next++), rig.play(milliseconds(static_cast<int>(chance() % 800)));
             if (trouble == 0 || trouble == 5) rig.leave(victim);
             if (trouble == 1) rig.kill(victim);
             if (trouble == 2 || trouble == 3) rig.cutOff(victim);
@@ -525,20 +525,20 @@
             for (int i = 0; i < 4; ++i) {
                 const std::vector<std::string> there = rig.alive();
                 rig.send(there[chance() % there.size()]);
-                rig.play(millis(static_cast<int>(chance() % 500)));
+                rig.play(milliseconds(static_cast<int>(chance() % 500)));
                 if (i == 1 && trouble != 0 && replaced) rig.comes(next++);
                 for (const std::string& name : rig.alive())
                     if (chance() % 3 == 0) rig.readsAt(name);
             }
-            rig.play(millis(3000));
+            rig.play(milliseconds(3000));
             rig.cut.clear();
             if (!replaced && !rig.members[victim].control) rig.returns(victim);
             for (const std::string& name : names)
                 if (name != victim && !rig.members[name].control) rig.returns(name);
             if (trouble == 2) rig.kill(victim);
             for (auto& [name, m] : rig.members) m.messagesLeft = 1 << 30;
-            rig.play(millis(syncIn_ms));
-            ASSERT_TRUE(rig.takesWithin(millis(1000))) << "seed " << seed << " round " << round;
+            rig.play(milliseconds(syncIn_ms));
+            ASSERT_TRUE(rig.takesWithin(milliseconds(1000))) << "seed " << seed << " round " << round;
             for (const std::string& name : rig.alive())
                 ASSERT_TRUE(rig.readsAt(name)) << "seed " << seed << " round " << round;
         }
--- a/tests/system/module.cpp
+++ b/tests/system/module.cpp
@@ -2,79 +2,86 @@
 // that is lowered, the near replica of either tier, and how long a late statement is held.
 #include <gtest/gtest.h>
 
-#include "front.hpp"
+#include "router.hpp"
 #include "standins/outlet.hpp"
 
 namespace {
 using namespace granitereel;
 
 struct Sink : granitereel::standins::SilentOutlet {
-    void launch(const std::string& t, const std::string& s, Nanos) override { launched.emplace_back(t, s); }
-    void nack(const std::string& t, Nanos) override { nacked.push_back(t); }
-    void writeOff(const std::string& t) override { nacked.push_back(t); }
+    void startAttempt(const std::string& t, const std::string& s, Nanoseconds) override {
+        launched.emplace_back(t, s);
+    }
+    void reject(const std::string& t, Nanoseconds) override { nacked.push_back(t); }
+    void reportIndeterminate(const std::string& t) override { nacked.push_back(t); }
     void probe(const std::string& s) override { probed.push_back(s); }
     std::vector<std::pair<std::string, std::string>> launched;
     std::vector<std::string> nacked, probed;
 };
 
-Lane lane(const char* name, Need need, Nanos goal, Effect effect = Effect::harmless) {
-    Lane made;
+TransactionClass lane(const char* name, Consistency need, Nanoseconds goal,
+                      RetrySafety effect = RetrySafety::idempotent) {
+    TransactionClass made;
     made.name = name;
-    made.need = need;
-    made.effect = effect;
-    made.goalTime = goal;
-    made.cutOff = millis(1000);
-    made.bound = millis(1500);
-    made.lateShare = 0.3;
+    made.consistency = need;
+    made.retrySafety = effect;
+    made.targetLatency = goal;
+    made.timeout = milliseconds(1000);
+    made.maxStaleness = milliseconds(1500);
+    made.lateValueShare = 0.3;
     return made;
 }
 
 // A primary "p" in zone 1 and replicas "near" in zone 0, where the front is, and "far" in zone 2.
 struct Rig {
     Sink sink;
-    Nanos now = millis(10'000);
-    Charter charter;
-    std::unique_ptr<Front> front;
+    Nanoseconds now = milliseconds(10'000);
+    RoutingConfig charter;
+    std::unique_ptr<Router> front;
     explicit Rig(bool nearAnyTier, double holdShare = 0.5) {
-        charter.launchLimit = 4;
-        charter.mayProbe = charter.mayCancel = true;
-        charter.crossingCost = 0.01;
-        charter.nearAnyTier = nearAnyTier;
-        charter.holdShare = holdShare;
-        front = std::make_unique<Front>(charter, 1, now, sink);
+        charter.maxAttempts = 4;
+        charter.probesAllowed = charter.cancelAllowed = true;
+        charter.crossZoneCost = 0.01;
+        charter.preferZoneOverTier = nearAnyTier;
+        charter.maxQueueShare = holdShare;
+        front = std::make_unique<Router>(charter, 1, now, sink);
         front->listBegins(true);
-        front->listEntry("far", 1, 2, Standing::up, 0, false);
-        front->listEntry("near", 1, 0, Standing::up, 0, false);
-        front->listEntry("p", 1, 1, Standing::up, 0, false);
+        front->listEntry("far", 1, 2, StoreState::up, 0, false);
+        front->listEntry("near", 1, 0, StoreState::up, 0, false);
+        front->listEntry("p", 1, 1, StoreState::up, 0, false);
         front->listEnds();
-        front->leads(1, "p");
-        for (const char* store : {"near", "far"}) front->reported(store, now, {});
+        front->setDecidedPrimary(1, "p");
+        for (const char* store : {"near", "far"}) front->storeReported(store, now, {});
     }
-    std::string take(const std::string& id, const Lane& of) {
+    std::string take(const std::string& id, const TransactionClass& of) {
         const std::size_t before = sink.launched.size();
-        front->clock(now);
-        front->take(id, front->lane(of), "", millis(1000), 1, {});
+        front->setTime(now);
+        front->submit(id, front->indexOfClass(of), "", milliseconds(1000), 1, {});
         return sink.launched.size() > before ? sink.launched.back().second : "";
     }
     void end(const std::string& id, const std::string& store) {
-        front->clock(now += millis(5));
-        front->ended(id, 0, store, Ending::delivered, millis(5), Role::unknown, {}, true);
+        front->setTime(now += milliseconds(5));
+        front->attemptEnded(id, 0, store, AttemptOutcome::succeeded, milliseconds(5), Role::unknown, {},
+                            true);
     }
 };
 
 TEST(Module, KeepsALanesNumberAsOthersCome) {
     Rig rig(false);
-    const int board = rig.front->lane(lane("board", Need::bounded, millis(800)));
-    const int write = rig.front->lane(lane("write", Need::write, millis(200), Effect::oneShot));
-    EXPECT_EQ(rig.front->lane(lane("board", Need::bounded, millis(800))), board);
+    const int board =
+        rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800)));
+    const int write =
+        rig.front->indexOfClass(lane("write", Consistency::write, milliseconds(200), RetrySafety::unsafe));
+    EXPECT_EQ(rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800))),
+              board);
     EXPECT_NE(board, write);
     // Reads that are out when another lane takes their tier are counted off where they were counted: else its
     // replica would look full for ever.
-    const Lane quick = lane("quick", Need::bounded, millis(100));
-    const std::string store = rig.take("a", lane("board", Need::bounded, millis(800)));
+    const TransactionClass quick = lane("quick", Consistency::bounded, milliseconds(100));
+    const std::string store = rig.take("a", lane("board", Consistency::bounded, milliseconds(800)));
     ASSERT_FALSE(store.empty());
-    EXPECT_EQ(rig.take("b", lane("board", Need::bounded, millis(800))), store);
-    rig.front->lane(quick);
+    EXPECT_EQ(rig.take("b", lane("board", Consistency::bounded, milliseconds(800))), store);
+    rig.front->indexOfClass(quick);
     rig.end("a", store);
     rig.end("b", store);
     EXPECT_EQ(rig.take("c", quick), store);
@@ -83,23 +90,23 @@
 
 TEST(Module, SendsWritesToWhomItIsToldLeads) {
     Rig rig(false);
-    const Lane write = lane("write", Need::write, millis(200), Effect::oneShot);
+    const TransactionClass write = lane("write", Consistency::write, milliseconds(200), RetrySafety::unsafe);
     EXPECT_EQ(rig.take("a", write), "p");
     rig.end("a", "p");
-    rig.front->leads(1, "far");
+    rig.front->setDecidedPrimary(1, "far");
     EXPECT_EQ(rig.take("b", write), "far");
     EXPECT_EQ(rig.front->primaryOf(1), "far");
-    rig.front->leads(1, "");
+    rig.front->setDecidedPrimary(1, "");
     EXPECT_FALSE(rig.front->primaryOf(1));
 }
 
 TEST(Module, BelievesAStoreThatSaysItLags) {
     Rig rig(true);
-    const Lane board = lane("board", Need::bounded, millis(800));
+    const TransactionClass board = lane("board", Consistency::bounded, milliseconds(800));
     EXPECT_EQ(rig.take("a", board), "near");
     rig.end("a", "near");
-    rig.front->lags("near", millis(1));
-    rig.front->lags("far", millis(1));
+    rig.front->storeLags("near", milliseconds(1));
+    rig.front->storeLags("far", milliseconds(1));
     rig.sink.probed.clear();
     EXPECT_EQ(rig.take("b", board), "p");
     rig.end("b", "p");
@@ -109,14 +116,14 @@
 }
 
 TEST(Module, ReadsTheNearReplicaOfEitherTierWhileItIsLittleUsed) {
-    const Lane premium = lane("own", Need::bounded, millis(200)),
-               freemium = lane("board", Need::bounded, millis(800));
+    const TransactionClass premium = lane("own", Consistency::bounded, milliseconds(200)),
+                           freemium = lane("board", Consistency::bounded, milliseconds(800));
     int farWithout = 0, farWith = 0;
     for (const bool on : {false, true}) {
         Rig rig(on);
-        rig.front->lane(premium);
-        rig.front->lane(freemium);
-        for (const Lane* each : {&premium, &freemium}) {
+        rig.front->indexOfClass(premium);
+        rig.front->indexOfClass(freemium);
+        for (const TransactionClass* each : {&premium, &freemium}) {
             const std::string store = rig.take(each->name, *each);
             (on ? farWith : farWithout) += store == "far";
             rig.end(each->name, store);
@@ -139,17 +146,18 @@
 TEST(Module, GivesUpLateStatementsWithinTheirShare) {
     for (const double share : {0.5, 0.45}) {
         Rig rig(false, share);
-        rig.front->leads(1, "");
-        for (const char* store : {"near", "far", "p"}) rig.front->reported(store, rig.now, false);
-        const Nanos began = rig.now;
-        EXPECT_EQ(rig.take("w", lane("write", Need::write, millis(200), Effect::oneShot)), "");
-        while (rig.sink.nacked.empty() && rig.now - began < millis(1000)) {
-            rig.front->clock(rig.now += millis(5));
-            rig.front->woke(0);
+        rig.front->setDecidedPrimary(1, "");
+        for (const char* store : {"near", "far", "p"}) rig.front->storeReported(store, rig.now, false);
+        const Nanoseconds began = rig.now;
+        EXPECT_EQ(rig.take("w", lane("write", Consistency::write, milliseconds(200), RetrySafety::unsafe)),
+                  "");
+        while (rig.sink.nacked.empty() && rig.now - began < milliseconds(1000)) {
+            rig.front->setTime(rig.now += milliseconds(5));
+            rig.front->timerFired(0);
         }
         ASSERT_EQ(rig.sink.nacked.size(), 1u);
-        EXPECT_LE(rig.now - began, static_cast<Nanos>(share * 1e9));
-        EXPECT_GE(rig.now - began, static_cast<Nanos>(share * 1e9) - millis(60));
+        EXPECT_LE(rig.now - began, static_cast<Nanoseconds>(share * 1e9));
+        EXPECT_GE(rig.now - began, static_cast<Nanoseconds>(share * 1e9) - milliseconds(60));
     }
 }
 }  // namespace
--- a/tests/system/parents.cpp
+++ b/tests/system/parents.cpp
@@ -11,8 +11,8 @@
 #include "standins/site.hpp"
 
 namespace {
-using granitereel::millis;
-using granitereel::Nanos;
+using granitereel::milliseconds;
+using granitereel::Nanoseconds;
 using granitereel::agent::Agent;
 using granitereel::standins::Site;
 using granitereel::standins::WireClient;
@@ -31,13 +31,13 @@
 
 // An agent that is linked to the first seed, which gives a lease of 700 ms to each question while told to.
 struct LinkedAgent {
-    Nanos now = millis(1'000'000);
+    Nanoseconds now = milliseconds(1'000'000);
     Agent agent{agentSettings(), now};
     bool parentHasLease = true, parentTellsBoard = true;
 
     void link(const std::string& address) { agent.upward(1, address, now); }
-    void pass(Nanos time) {
-        for (const Nanos end = now + time; now < end; now += millis(100)) {
+    void pass(Nanoseconds time) {
+        for (const Nanoseconds end = now + time; now < end; now += milliseconds(100)) {
             agent.tick(now);
             for (const Agent::Said& said : agent.take()) answer(said);
         }
@@ -46,7 +46,7 @@
         if (said.message["k"] == granitereel::board::Inventory::kind && parentTellsBoard)
             agent.heard(said.link, granitereel::board::Complete{said.message["exchange"], 0}.toJson(), now);
         if (said.message["k"] != granitereel::board::LeaseRequest::kind) return;
-        const Nanos left = parentHasLease ? millis(700) : 0;
+        const Nanoseconds left = parentHasLease ? milliseconds(700) : 0;
         const auto number = granitereel::board::LeaseRequest::fromJson(said.message).number;
         agent.heard(said.link, granitereel::board::LeaseReply{number, left, {}}.toJson(), now);
     }
@@ -61,23 +61,23 @@
     LinkedAgent rig;
     rig.allFailed();
     rig.link("10.1.0.1");
-    rig.pass(millis(2'000));
+    rig.pass(milliseconds(2'000));
     EXPECT_EQ(rig.agent.betterParent(), "");
     rig.parentHasLease = false;
-    rig.pass(millis(1'200));
+    rig.pass(milliseconds(1'200));
     const std::string next = rig.agent.betterParent();
     EXPECT_TRUE(next == "10.1.0.2" || next == "10.1.0.3") << "to be tried: '" << next << "'";
 }
 
 // What the agent dials, at the times of its ticks.
-std::vector<std::string> dialled(LinkedAgent& rig, Nanos time) {
+std::vector<std::string> dialled(LinkedAgent& rig, Nanoseconds time) {
     std::vector<std::string> all;
-    for (const Nanos end = rig.now + time; rig.now < end;) {
+    for (const Nanoseconds end = rig.now + time; rig.now < end;) {
         if (const auto address = rig.agent.dial(rig.now)) {
             all.push_back(*address);
             rig.agent.unreachable(*address, rig.now);
         }
-        rig.pass(millis(100));
+        rig.pass(milliseconds(100));
     }
     return all;
 }
@@ -86,10 +86,10 @@
     LinkedAgent rig;
     rig.allFailed();
     rig.link("10.1.0.1");
-    EXPECT_EQ(dialled(rig, millis(1'500)), std::vector<std::string>());
+    EXPECT_EQ(dialled(rig, milliseconds(1'500)), std::vector<std::string>());
     rig.parentHasLease = false;
-    rig.pass(millis(1'000));
-    const auto tried = dialled(rig, millis(1'000));
+    rig.pass(milliseconds(1'000));
+    const auto tried = dialled(rig, milliseconds(1'000));
     ASSERT_GE(tried.size(), 2u);
     EXPECT_LE(tried.size(), 5u);  // slower once all have been tried
     EXPECT_NE(tried[0], tried[1]);
@@ -100,23 +100,23 @@
 TEST(Parents, ThatAreLinkedBesideThePresentOneAreTakenOnlyWithALease) {
     LinkedAgent rig;
     rig.link("10.1.0.1");
-    rig.pass(millis(500));
+    rig.pass(milliseconds(500));
     rig.parentHasLease = false;
-    rig.pass(millis(1'200));
-    const auto reply = [&](int link, Nanos left) {
+    rig.pass(milliseconds(1'200));
+    const auto reply = [&](int link, Nanoseconds left) {
         rig.agent.heard(link, granitereel::board::LeaseReply{0, left, {}, 0}.toJson(), rig.now);
     };
     ASSERT_EQ(rig.agent.dial(rig.now), "10.1.0.2");
     rig.agent.dialled(2, "10.1.0.2", rig.now);
     reply(2, 0);
     EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{2});
-    rig.pass(millis(100));
+    rig.pass(milliseconds(100));
     ASSERT_EQ(rig.agent.dial(rig.now), "10.1.0.3");
     rig.agent.dialled(3, "10.1.0.3", rig.now);
-    reply(3, millis(400));
+    reply(3, milliseconds(400));
     EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{1});  // the former parent
     rig.parentHasLease = true;
-    rig.pass(millis(300));
+    rig.pass(milliseconds(300));
     EXPECT_GT(rig.agent.leaseUntil(), rig.now);
 }
 
@@ -125,11 +125,11 @@
     LinkedAgent rig;
     rig.link("10.1.0.1");
     rig.parentHasLease = false;
-    rig.pass(millis(1'000));
+    rig.pass(milliseconds(1'000));
     int link = 1;
     for (int round = 0; round < 8; ++round) {
         if (const auto address = rig.agent.dial(rig.now)) rig.agent.dialled(++link, *address, rig.now);
-        rig.pass(millis(1'000));
+        rig.pass(milliseconds(1'000));
         EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{link}) << round;
     }
     EXPECT_EQ(rig.agent.violations(), 0u);
@@ -140,7 +140,7 @@
     LinkedAgent rig;
     rig.parentTellsBoard = false;
     rig.link("10.1.0.1");
-    rig.pass(millis(2'500));
+    rig.pass(milliseconds(2'500));
     EXPECT_LE(rig.agent.leaseUntil(), rig.now);
     EXPECT_EQ(rig.agent.betterParent(), "10.1.0.2");
 }
@@ -149,21 +149,21 @@
 TEST(Parents, ThatAreLostDuringASearchCountAsTried) {
     LinkedAgent rig;
     rig.link("10.1.0.1");
-    rig.pass(millis(500));
+    rig.pass(milliseconds(500));
     rig.parentHasLease = false;
-    rig.pass(millis(1'000));
-    dialled(rig, millis(2'900));
+    rig.pass(milliseconds(1'000));
+    dialled(rig, milliseconds(2'900));
     rig.agent.linkDown(1, rig.now);
-    rig.pass(millis(200));
+    rig.pass(milliseconds(200));
     EXPECT_EQ(rig.agent.violations(), 0u);
 }
 
 TEST(Parents, BackedOffSinceAllWereAwayAreTriedOnceOneIsBack) {
     LinkedAgent rig;
     rig.agent.linkDown(1, rig.now);
-    EXPECT_GE(dialled(rig, millis(7'000)).size(), 30u);
+    EXPECT_GE(dialled(rig, milliseconds(7'000)).size(), 30u);
     rig.link("10.1.0.3");
-    rig.pass(millis(600));
+    rig.pass(milliseconds(600));
     EXPECT_EQ(rig.agent.betterParent(), "10.1.0.1");
 }
 
--- a/tests/system/pooler.cpp
+++ b/tests/system/pooler.cpp
@@ -7,8 +7,8 @@
 #include "standins/poolerrig.hpp"
 
 namespace {
-using granitereel::millis;
-using granitereel::Nanos;
+using granitereel::milliseconds;
+using granitereel::Nanoseconds;
 using granitereel::standins::PoolerRig;
 using Lines = std::vector<std::string>;
 
@@ -120,7 +120,7 @@
     EXPECT_EQ(rig.databases.effects("w2"), 1);
     rig.ask(b, "QUERY b3 BEGIN");
     rig.ask(b, "QUERY w3 WRITE x 3");
-    rig.run(millis(3200));              // tx_idle_ms is 3,000
+    rig.run(milliseconds(3200));        // tx_idle_ms is 3,000
     EXPECT_EQ(rig.told(b).size(), 0u);  // nothing is said unasked
     EXPECT_EQ(state(rig.ask(b, "QUERY w4 WRITE x 4")), "E");
     EXPECT_EQ(state(rig.ask(b, "QUERY a5 ABORT")), "I");
@@ -132,7 +132,7 @@
     const int c = rig.client();
     rig.told(c);
     rig.leases = false;
-    rig.pass(millis(1000));
+    rig.pass(milliseconds(1000));
     const auto before = rig.pooler->counts().guarded;
     EXPECT_EQ(first(rig.ask(c, "QUERY r1 READ x")).substr(0, 3), "ROW");
     EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
@@ -152,12 +152,12 @@
     rig.pooler->agentDown();
     rig.exchanges = false;
     rig.pooler->agentUp(rig.now);
-    rig.pass(millis(1000));
+    rig.pass(milliseconds(1000));
     const auto before = rig.pooler->counts().guarded;
     EXPECT_EQ(first(rig.ask(c, "QUERY r1 READ x")).substr(0, 3), "ROW");
     EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
     rig.exchanges = true;
-    rig.pass(millis(4000));  // the exchange is begun again
+    rig.pass(milliseconds(4000));  // the exchange is begun again
     EXPECT_EQ(first(rig.ask(c, "QUERY r2 READ x")).substr(0, 3), "ROW");
     EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
 }
@@ -170,9 +170,9 @@
     rig.databases.slow("s2", true);
     for (int i = 0; i < 5; ++i) {
         rig.ask(w, "QUERY w" + std::to_string(i) + " WRITE x 1");
-        rig.run(millis(100));
+        rig.run(milliseconds(100));
     }
-    rig.run(millis(1600));
+    rig.run(milliseconds(1600));
     rig.ask(w, "QUERY wl WRITE x 1");
     // Both replicas have applied none of what is older than 1.5 s: they say so, and the lead answers.
     EXPECT_EQ(first(rig.ask(r, "QUERY r1 READ x")), "ROW 6");
@@ -193,20 +193,20 @@
     rig.databases.dark("s0", true);
     rig.say(open, "QUERY c1 COMMIT");
     rig.say(idle, "QUERY w2 WRITE y 1");
-    rig.run(millis(300));
+    rig.run(milliseconds(300));
     // Control hears of it before anyone else notices.
     EXPECT_TRUE(std::any_of(rig.toCourier.begin(), rig.toCourier.end(), [](const auto& m) {
         return m.value("k", "") == "suspect" && m.value("store", "") == "s0";
     }));
     ASSERT_TRUE(rig.databases.promote("s1"));
     rig.lead("s1");
-    rig.run(millis(100));
+    rig.run(milliseconds(100));
     EXPECT_EQ(first(rig.told(open)).substr(0, 13), "ERROR INDOUBT");
     // What never left for the old lead runs at the next, once.
     EXPECT_EQ(first(rig.told(idle)).substr(0, 4), "DONE");
     EXPECT_EQ(first(rig.ask(idle, "QUERY w3 WRITE y 1")).substr(0, 4), "DONE");
     rig.databases.dark("s0", false);
-    rig.run(millis(1500));
+    rig.run(milliseconds(1500));
     EXPECT_EQ(rig.databases.effects("w1"), 0);
     EXPECT_EQ(rig.databases.effects("w2"), 1);
     EXPECT_EQ(rig.databases.effects("w3"), 1);
@@ -217,10 +217,10 @@
     const int c = rig.client();
     rig.told(c);
     for (const std::string& store : rig.databases.names()) rig.databases.dark(store, true);
-    const Nanos before = rig.now;
+    const Nanoseconds before = rig.now;
     rig.say(c, "QUERY r1 READ x");
-    for (int i = 0; i < 400 && rig.told(c).empty(); ++i) rig.run(millis(5));
-    EXPECT_LT(rig.now - before, millis(1100));
+    for (int i = 0; i < 400 && rig.told(c).empty(); ++i) rig.run(milliseconds(5));
+    EXPECT_LT(rig.now - before, milliseconds(1100));
 }
 
 TEST(Pooler, LeavesInOrder) {
@@ -231,11 +231,11 @@
     rig.ask(works, "QUERY w1 WRITE x 1");
     rig.pooler->leave(rig.now);
     EXPECT_FALSE(rig.pooler->ready());
-    rig.run(millis(2500));
+    rig.run(milliseconds(2500));
     EXPECT_TRUE(rig.ended(rests));
     EXPECT_FALSE(rig.ended(works));
     EXPECT_EQ(first(rig.ask(works, "QUERY c1 COMMIT")).substr(0, 4), "DONE");
-    rig.run(millis(200));
+    rig.run(milliseconds(200));
     EXPECT_TRUE(rig.pooler->over());
 }
 
@@ -310,12 +310,12 @@
                 break;
             case 6:  // an answer is lost, and time passes
                 rig.databases.loseNextAnswer(rig.databases.lead());
-                rig.run(millis(1200));
+                rig.run(milliseconds(1200));
                 break;
         }
         if (const std::string fault = hear(); !fault.empty()) return fault;
     }
-    rig.run(millis(8000));
+    rig.run(milliseconds(8000));
     if (const std::string fault = hear(); !fault.empty()) return fault;
     if (!left && answered < asked && !rig.ended(c)) return "a statement has no answer";
     const int w1 = rig.databases.effects("q1"), w3 = rig.databases.effects("q3");
@@ -366,13 +366,13 @@
     for (const bool contact : {true, false}) {
         PoolerRig rig;
         rig.leases = contact;
-        rig.pass(granitereel::board::presumedGoneAfter + millis(5'000));
+        rig.pass(granitereel::board::presumedGoneAfter + milliseconds(5'000));
         for (int i = 0; i < 4; ++i) {
             const int client = rig.client("primary");
             rig.say(client, "QUERY b BEGIN");
             rig.say(client, "QUERY r READ x");
         }
-        rig.run(millis(100));
+        rig.run(milliseconds(100));
         std::size_t most = 0;
         for (const std::string& store : rig.databases.names())
             most = std::max(most, rig.linesTo(store).size());
--- a/tests/system/promotion.cpp
+++ b/tests/system/promotion.cpp
@@ -28,9 +28,9 @@
     EXPECT_EQ(rig.acknowledged.size(), before + 1) << where;
 }
 
-void runWithWrites(PromotionRig& rig, Nanos time) {
-    for (const Nanos until = rig.now + time; rig.now < until;) {
-        rig.run(millis(100));
+void runWithWrites(PromotionRig& rig, Nanoseconds time) {
+    for (const Nanoseconds until = rig.now + time; rig.now < until;) {
+        rig.run(milliseconds(100));
         rig.clientWrites();
     }
 }
@@ -51,24 +51,24 @@
     FrozenRun(bool fenceChecked, Cause cause, int step, unsigned seed) : rig({fenceChecked, 0, seed, 2, 0}) {
         Owner &first = *rig.owners[0], &second = *rig.owners[1];
         rig.own(first, true);
-        runWithWrites(rig, millis(1000));
+        runWithWrites(rig, milliseconds(1000));
         begin(rig, cause);
         first.freezeAtStep = first.steps + 1 + step;
         for (int i = 0; i < 200 && !first.frozen; ++i) {
             if (cause != Cause::planned) rig.suspect(first, "s0");
-            runWithWrites(rig, millis(100));
+            runWithWrites(rig, milliseconds(100));
         }
         froze = first.frozen;
-        runWithWrites(rig, millis(700));
+        runWithWrites(rig, milliseconds(700));
         rig.own(second, true);
         rig.own(first, false);  // seen when it wakes, in any order with what else is due
         for (int i = 0; i < 25; ++i) {
             if (cause != Cause::planned) rig.suspect(second, "s0");
-            runWithWrites(rig, millis(1000));
+            runWithWrites(rig, milliseconds(1000));
         }
         rig.crash("s0", false);
         rig.hiddenFromControl.clear();
-        runWithWrites(rig, millis(6000));
+        runWithWrites(rig, milliseconds(6000));
     }
 };
 
@@ -92,11 +92,11 @@
 void firstDiesBehindItsCall(PromotionRig& rig) {
     Owner &first = *rig.owners[0], &second = *rig.owners[1];
     rig.own(first, true);
-    runWithWrites(rig, millis(1000));
+    runWithWrites(rig, milliseconds(1000));
     begin(rig, Cause::hidden);
     for (int i = 0; i < 3000 && rig.postsLeft == 0; ++i) {
         if (i % 50 == 0) rig.suspect(first, "s0");
-        rig.run(millis(1));
+        rig.run(milliseconds(1));
     }
     ASSERT_EQ(rig.postsLeft, 1);
     rig.kill(first);
@@ -108,10 +108,10 @@
         PromotionRig::Options options;
         options.seed = seed;
         options.fenceChecked = false;
-        options.postWay = millis(1190);
+        options.postWay = milliseconds(1190);
         PromotionRig rig(options);
         firstDiesBehindItsCall(rig);
-        runWithWrites(rig, millis(8000));
+        runWithWrites(rig, milliseconds(8000));
         expectWhole(rig, "seed " + std::to_string(seed) + " ");
     }
 }
@@ -120,16 +120,16 @@
     for (const unsigned seed : {1u, 2u, 3u, 4u}) {
         PromotionRig::Options options;
         options.seed = seed;
-        options.postWay = millis(1190);
-        options.promoteTakes = millis(990);
+        options.postWay = milliseconds(1190);
+        options.promoteTakes = milliseconds(990);
         PromotionRig rig(options);
         firstDiesBehindItsCall(rig);
         rig.beat("s1", "winding_down");  // so that the next one would rather have s2,
         rig.databases.deaf("s2", true);  // which gets nothing of what s1 commits with s0
-        runWithWrites(rig, millis(5000));
+        runWithWrites(rig, milliseconds(5000));
         rig.databases.deaf("s2", false);
         rig.beat("s1");
-        runWithWrites(rig, millis(8000));
+        runWithWrites(rig, milliseconds(8000));
         expectWhole(rig, "seed " + std::to_string(seed) + " ");
     }
 }
@@ -139,12 +139,12 @@
     for (const unsigned seed : {1u, 2u, 3u, 4u}) {
         PromotionRig::Options options;
         options.seed = seed;
-        options.postWay = millis(1190);
-        options.promoteTakes = millis(990);
+        options.postWay = milliseconds(1190);
+        options.promoteTakes = milliseconds(990);
         PromotionRig rig(options);
         firstDiesBehindItsCall(rig);
         rig.hiddenFromControl.clear();
-        runWithWrites(rig, millis(8000));
+        runWithWrites(rig, milliseconds(8000));
         expectWhole(rig, "seed " + std::to_string(seed) + " ");
     }
 }
@@ -159,7 +159,7 @@
                 for (const bool crashFirst : {false, true}) {
                     PromotionRig rig({true, 0, static_cast<unsigned>(crashAfter_ms) + 7, 2, 0});
                     rig.own(*rig.owners[0], true);
-                    runWithWrites(rig, millis(1000));
+                    runWithWrites(rig, milliseconds(1000));
                     rig.databases.deaf("s2", true);  // so that s1 alone has what is acknowledged now
                     for (int i = 0; i < 3; ++i) rig.clientWrites();
                     if (crashFirst) rig.crash("s0", true);
@@ -168,10 +168,11 @@
                         rig.databases.deaf("s2", false);
                         rig.clientWrites();
                     }
-                    rig.run(millis(crashAfter_ms));
+                    rig.run(milliseconds(crashAfter_ms));
                     if (moreCommits) rig.clientWrites();
                     rig.crash("s0", true);
-                    for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(millis(250));
+                    for (int i = 0; i < 20; ++i)
+                        rig.suspect(*rig.owners[0], "s0"), rig.run(milliseconds(250));
                     const std::string where = std::to_string(crashAfter_ms) +
                                               (otherReceives ? " other" : "") + (moreCommits ? " more" : "") +
                                               (crashFirst ? " first" : "");
@@ -180,7 +181,7 @@
                     EXPECT_TRUE(!released || rig.databases.lead() == "s2") << where;
                     rig.databases.deaf("s2", false);
                     rig.logPassesTo("s1", "s1-again");
-                    rig.run(millis(6000));
+                    rig.run(milliseconds(6000));
                     EXPECT_NE(rig.databases.lead(), "s0") << where;
                     expectWhole(rig, where);
                 }
@@ -193,7 +194,7 @@
         for (const bool targetDeaf : {false, true}) {
             PromotionRig rig({true, 0, 11, 2, 0});
             rig.own(*rig.owners[0], true);
-            runWithWrites(rig, millis(1000));
+            runWithWrites(rig, milliseconds(1000));
             if (targetDeaf) rig.databases.deaf("s1", true);  // s2 alone has what is acknowledged from here on
             rig.clientWrites();
             if (hidden)
@@ -201,11 +202,11 @@
             else
                 rig.crash("s2", true);
             rig.beat("s0", "winding_down");
-            runWithWrites(rig, millis(3000));
+            runWithWrites(rig, milliseconds(3000));
             const std::string where = std::string(hidden ? "hidden" : "dark") + (targetDeaf ? " deaf " : " ");
             EXPECT_EQ(rig.databases.lead(), targetDeaf ? "s0" : "s1") << where;
             rig.databases.deaf("s1", false);
-            runWithWrites(rig, millis(8000));
+            runWithWrites(rig, milliseconds(8000));
             EXPECT_EQ(rig.databases.lead(), "s1") << where;
             expectWhole(rig, where);
         }
@@ -216,24 +217,24 @@
 TEST(PromotionRenamed, ALeadThatIsBackUnderAnotherNameLeadsOn) {
     PromotionRig rig({true, 0, 12, 2, 0});
     rig.own(*rig.owners[0], true);
-    runWithWrites(rig, millis(1000));
+    runWithWrites(rig, milliseconds(1000));
     rig.crash("s2", true);
     rig.crash("s0", true);
-    for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(millis(200));
+    for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(milliseconds(200));
     ASSERT_TRUE(rig.lead);
     EXPECT_FALSE(rig.lead->steady);  // s2 may have the only copy of a commit
     rig.returnsAs("s0", "s0-again");
-    runWithWrites(rig, millis(4000));
+    runWithWrites(rig, milliseconds(4000));
     EXPECT_EQ(rig.lead->store, "s0-again");
     EXPECT_TRUE(rig.lead->steady);
     const std::size_t before = rig.acknowledged.size();
-    runWithWrites(rig, millis(1000));
+    runWithWrites(rig, milliseconds(1000));
     EXPECT_GT(rig.acknowledged.size(), before);
     // Its former name is waited for by nobody when it crashes again with all replicas there.
     rig.crash("s2", false);
-    runWithWrites(rig, millis(2000));
+    runWithWrites(rig, milliseconds(2000));
     rig.crash("s0-again", true);
-    for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0-again"), rig.run(millis(200));
+    for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0-again"), rig.run(milliseconds(200));
     EXPECT_EQ(rig.lead->term, 2u);
     EXPECT_TRUE(rig.lead->steady);
     expectWhole(rig, "crashed again");
@@ -245,15 +246,15 @@
     for (const bool alone : {false, true}) {
         PromotionRig rig({true, 0, 13, 2, 0});
         rig.own(*rig.owners[0], true);
-        runWithWrites(rig, millis(1000));
+        runWithWrites(rig, milliseconds(1000));
         rig.databases.deaf("s2", alone);
         for (int i = 0; i < 3; ++i) rig.clientWrites();
         rig.crash("s1", true);
-        rig.run(millis(700));
+        rig.run(milliseconds(700));
         rig.returnsAs("s1", "s1-again");
-        rig.run(millis(700));
+        rig.run(milliseconds(700));
         rig.crash("s0", true);
-        for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(millis(200));
+        for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(milliseconds(200));
         EXPECT_EQ(rig.lead->term, 2u) << alone;
         EXPECT_TRUE(!alone || rig.databases.lead() == "s1-again");
         rig.databases.deaf("s2", false);
@@ -274,7 +275,7 @@
             }
             if (oneIn(250)) rig.kill(owner);
             if (oneIn(200) && !owner.frozen)
-                rig.freeze(owner, millis(oneIn(3) ? 20'000 : 100 + chance() % 3000));
+                rig.freeze(owner, milliseconds(oneIn(3) ? 20'000 : 100 + chance() % 3000));
             if (oneIn(200)) owner.freezeAtStep = owner.steps + 1 + static_cast<int>(chance() % 40);
             if (oneIn(owner.cutOff ? 20 : 100)) owner.cutOff = !owner.cutOff;
             if (oneIn(owner.answersCut ? 20 : 100)) owner.answersCut = !owner.answersCut;
@@ -311,7 +312,7 @@
             if (oneIn(80) && rig.databases.names().size() < 5) rig.joins("j" + std::to_string(turn));
         }
         for (auto& front : rig.fronts) front.frozen = front.frozen ? !oneIn(20) : oneIn(60);
-        runWithWrites(rig, millis(200));
+        runWithWrites(rig, milliseconds(200));
     }
     // All is well again.
     rig.options.lostInHundred = 0;
@@ -325,7 +326,7 @@
         rig.own(*owner, false);
     }
     for (auto& front : rig.fronts) front.frozen = front.cutOff = false;
-    rig.run(millis(4000));  // what was asked for is over
+    rig.run(milliseconds(4000));  // what was asked for is over
     if (!rig.left.empty()) rig.logPassesTo(rig.left, "last");
     rig.own(*rig.owners.front(), true);
     for (const std::string& store : rig.databases.names()) rig.beat(store);
@@ -333,7 +334,7 @@
         // Fronts that are answered by another store than they ask for say so.
         if (rig.lead && rig.formerNames.count(rig.lead->store))
             rig.suspect(*rig.owners.front(), rig.lead->store);
-        runWithWrites(rig, millis(200));
+        runWithWrites(rig, milliseconds(200));
     }
 }
 
@@ -351,7 +352,7 @@
         PromotionRig::Options options;
         options.seed = seed;
         options.fenceChecked = seed % 2;
-        options.platformLease = seed % 3 ? 0 : millis(2000);
+        options.platformLease = seed % 3 ? 0 : milliseconds(2000);
         options.owners = 3;
         options.lostInHundred = static_cast<int>(seed % 4) * 5;
         PromotionRig rig(options);
@@ -405,21 +406,21 @@
 TEST(PromotionProofs, AReplicaThatStartsAgainProvesNothingOnANewConnection) {
     for (const bool onAnyConnection : {false, true}) {
         PromotionRig::Options options;
-        options.postWay = millis(5);
-        options.promoteTakes = millis(400);
+        options.postWay = milliseconds(5);
+        options.promoteTakes = milliseconds(400);
         options.provesByReplicas = true;
         options.provesOnAnyConnection = onAnyConnection;
         PromotionRig rig(options);
         rig.own(*rig.owners[0], true);
-        runWithWrites(rig, millis(1500));
+        runWithWrites(rig, milliseconds(1500));
         for (auto& front : rig.fronts) front.cutOff = true;
         rig.joins("s3");
-        rig.run(millis(800));
+        rig.run(milliseconds(800));
         for (const char* known : {"s1", "s2"}) rig.databases.deaf(known, true);
         rig.clientWrites();  // s3 alone has it, and is the target therefore
         rig.hiddenFromControl = {"s0"};
         rig.suspect(*rig.owners[0], "s0");
-        for (int ms = 0; ms < 3000 && rig.pausedReplicas().size() < 3; ++ms) rig.run(millis(1));
+        for (int ms = 0; ms < 3000 && rig.pausedReplicas().size() < 3; ++ms) rig.run(milliseconds(1));
         ASSERT_EQ(rig.pausedReplicas().size(), 3u);
         for (const char* known : {"s1", "s2"}) {
             rig.databases.deaf(known, false);
@@ -427,7 +428,7 @@
         }
         const std::size_t before = rig.acknowledged.size();
         rig.clientWrites();
-        rig.run(millis(3000));
+        rig.run(milliseconds(3000));
         EXPECT_EQ(rig.databases.lead(), "s3");
         EXPECT_EQ(rig.acknowledged.size() > before, onAnyConnection);
         EXPECT_EQ(rig.faults.empty(), !onAnyConnection);
@@ -441,27 +442,27 @@
     for (int deafAfter_ms = 700; deafAfter_ms < 1000; deafAfter_ms += 3) {
         PromotionRig::Options options;
         options.seed = 14;
-        options.postWay = millis(5);
-        options.promoteTakes = millis(300);
+        options.postWay = milliseconds(5);
+        options.promoteTakes = milliseconds(300);
         options.provesByReplicas = true;
         PromotionRig rig(options);
         rig.own(*rig.owners[0], true);
-        runWithWrites(rig, millis(1500));
+        runWithWrites(rig, milliseconds(1500));
         for (auto& front : rig.fronts) front.cutOff = true;
         rig.joins("s3");
-        rig.run(millis(700));
+        rig.run(milliseconds(700));
         for (const char* ends : {"s0", "s1", "s2"}) rig.beat(ends, "winding_down");
         rig.hiddenFromControl = {"s1", "s2"};
-        rig.run(millis(deafAfter_ms));
+        rig.run(milliseconds(deafAfter_ms));
         rig.databases.deaf("s3", true);
-        for (int i = 0; i < 3; ++i) rig.clientWrites(), rig.run(millis(150));
+        for (int i = 0; i < 3; ++i) rig.clientWrites(), rig.run(milliseconds(150));
         rig.databases.deaf("s3", false);
-        rig.run(millis(6000));
+        rig.run(milliseconds(6000));
         for (const std::string& fault : rig.faults) ADD_FAILURE() << deafAfter_ms << ": " << fault;
         rig.hiddenFromControl.clear();
         for (auto& front : rig.fronts) front.cutOff = false;
         for (const char* stays : {"s1", "s2"}) rig.beat(stays);
-        rig.run(millis(8000));
+        rig.run(milliseconds(8000));
         expectWhole(rig, std::to_string(deafAfter_ms) + " ");
         EXPECT_NE(rig.databases.lead(), "s0");
     }
@@ -473,12 +474,12 @@
     for (const int awayFor_ms : {300, 4000}) {
         PromotionRig rig({true, 0, 16, 2});
         rig.own(*rig.owners[0], true);
-        runWithWrites(rig, millis(1500));
+        runWithWrites(rig, milliseconds(1500));
         rig.leaves("s1");
-        runWithWrites(rig, millis(awayFor_ms));
+        runWithWrites(rig, milliseconds(awayFor_ms));
         EXPECT_EQ(rig.lead->replicas.count("s1"), awayFor_ms < 1000 ? 1u : 0u);
         rig.logPassesTo("s1", "s1-again");
-        runWithWrites(rig, millis(1500));
+        runWithWrites(rig, milliseconds(1500));
         EXPECT_EQ(rig.lead->replicas.count("s1-again"), 1u);
         EXPECT_TRUE(rig.lead->young.empty());
         EXPECT_TRUE(rig.lead->vacated.empty());
@@ -488,24 +489,24 @@
 TEST(PromotionProofs, AReplicaIsYoungUntilItWasOnRecordForLongEnough) {
     PromotionRig rig({true, 0, 15, 2});
     rig.own(*rig.owners[0], true);
-    rig.run(millis(1500));
+    rig.run(milliseconds(1500));
     EXPECT_TRUE(rig.lead->young.empty());  // all were there when the lead was found
     rig.joins("s3");
-    rig.run(millis(20'000));
+    rig.run(milliseconds(20'000));
     EXPECT_EQ(rig.lead->young, YoungReplicas({{"s3", 2}}));
     rig.own(*rig.owners[0], false);
     rig.own(*rig.owners[1], true);  // has seen it as long
-    rig.run(millis(7'000));
+    rig.run(milliseconds(7'000));
     EXPECT_TRUE(rig.lead->young.empty());
     // One that started since goes on from what the record says.
     rig.joins("s4");
-    rig.run(millis(20'000));
+    rig.run(milliseconds(20'000));
     rig.kill(*rig.owners[1]);
     rig.start(*rig.owners[1]);
     rig.own(*rig.owners[1], true);
-    rig.run(millis(7'000));
+    rig.run(milliseconds(7'000));
     EXPECT_EQ(rig.lead->young, YoungReplicas({{"s4", 2}}));
-    rig.run(millis(4'000));
+    rig.run(milliseconds(4'000));
     EXPECT_TRUE(rig.lead->young.empty());
 }
 
@@ -529,14 +530,14 @@
 TEST(Promotion, ALateAnswerOfThePlatformIsNotTakenForALaterCalls) {
     for (const auto late : {PromotionAnswer::accepted, PromotionAnswer::conflict, PromotionAnswer::silent}) {
         standins::SuccessionRig rig;
-        Succession owner("m1", "svc", millis(750), rig);
-        Nanos now = millis(10'000);
+        Succession owner("m1", "svc", milliseconds(750), rig);
+        Nanoseconds now = milliseconds(10'000);
         owner.own(true, now);
-        standins::settleDown(rig, owner, now, millis(500));
+        standins::settleDown(rig, owner, now, milliseconds(500));
         rig.databases.dark("s0", true);
         owner.suspected("s0", now);
         const auto untilPost = [&]() -> std::optional<ToPlatform> {
-            for (int i = 0; i < 100; ++i, now += millis(50)) {
+            for (int i = 0; i < 100; ++i, now += milliseconds(50)) {
                 rig.clock = now;
                 owner.tick(now);
                 rig.serve(owner, now, 1 << 30, true, false);
@@ -575,7 +576,7 @@
     int stood = 0;
     for (int killedAfter_ms = 0; killedAfter_ms < 25; ++killedAfter_ms) {
         standins::ControlWorld world(3, 0, 5);
-        world.run(millis(2000));
+        world.run(milliseconds(2000));
         const std::string self = world.address(0);
         const auto means = [&]() -> Succession::Means& { return *world.members[self].control; };
         Lead lead;
@@ -584,23 +585,23 @@
         std::optional<Lead> founded, second;
         means().change("svc", 0, lead, [&](std::optional<Lead> is) { founded = is; });
         world.carry(self);
-        world.run(millis(200));
+        world.run(milliseconds(200));
         ASSERT_TRUE(founded);
         lead.seq = 2;
         lead.fence = 1;
         lead.holder = self;
         means().change("svc", 1, lead, [](std::optional<Lead>) {});
         world.carry(self);
-        world.run(millis(killedAfter_ms));
+        world.run(milliseconds(killedAfter_ms));
         world.kill(self);
         int holding = 0;
         for (const auto& [name, member] : world.members)
             holding += member.disk.count("slot/lead/svc") && seqOf(member.disk.at("slot/lead/svc")) == 2;
         world.start(self);
-        world.run(millis(60));
+        world.run(milliseconds(60));
         means().change("svc", 1, lead, [&](std::optional<Lead> is) { second = is; });
         world.carry(self);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         if (holding < 2) continue;
         ++stood;
         EXPECT_FALSE(second) << killedAfter_ms;
@@ -611,14 +612,14 @@
 // What a confirmation says: only of the value that stands, and only under the member's lease.
 TEST(Promotion, AConfirmationNeedsAMajorityAndTheValueThatStands) {
     standins::ControlWorld world(3, 0, 6);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     const std::string self = world.address(0);
     auto& means = static_cast<Succession::Means&>(*world.members[self].control);
     const auto confirms = [&](const Lead& lead) {
         std::optional<Confirmation> is;
-        means.confirm("svc", lead, [&](Confirmation told, Nanos) { is = told; });
+        means.confirm("svc", lead, [&](Confirmation told, Nanoseconds) { is = told; });
         world.carry(self);
-        world.run(millis(1500));
+        world.run(milliseconds(1500));
         return is;
     };
     Lead lead;
@@ -626,7 +627,7 @@
     lead.seq = 1;
     means.change("svc", 0, lead, [](auto) {});
     world.carry(self);
-    world.run(millis(200));
+    world.run(milliseconds(200));
     EXPECT_EQ(confirms(lead), Confirmation::stands);
     Lead other = lead;
     other.fence = 1;
@@ -634,19 +635,19 @@
     for (int i = 1; i < 3; ++i) world.cut.insert({self, world.address(i)});
     EXPECT_EQ(confirms(lead), Confirmation::unknown);
     world.cut.clear();
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     EXPECT_EQ(confirms(lead), Confirmation::stands);
     // A majority answers in time, but the member sleeps through its lease and the next round is still to
     // come.
     std::optional<Confirmation> late;
-    means.confirm("svc", lead, [&](Confirmation told, Nanos) { late = told; });
+    means.confirm("svc", lead, [&](Confirmation told, Nanoseconds) { late = told; });
     world.carry(self);
     world.frozen.insert(self);
-    world.run(millis(800));
+    world.run(milliseconds(800));
     world.frozen.clear();
-    world.run(millis(20));
+    world.run(milliseconds(20));
     EXPECT_EQ(late, Confirmation::unknown);
-    world.run(millis(1000));
+    world.run(milliseconds(1000));
     EXPECT_EQ(confirms(lead), Confirmation::stands);
 }
 
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_calls.cpp
@@ -10,8 +10,8 @@
 #include "standins/poolerrig.hpp"
 
 namespace {
-using granitereel::millis;
-using granitereel::Nanos;
+using granitereel::milliseconds;
+using granitereel::Nanoseconds;
 using granitereel::standins::Databases;
 using granitereel::standins::Fault;
 using granitereel::standins::PoolerRig;
@@ -200,7 +200,7 @@
         rig.ask(c, "QUERY w1 WRITE x 1");
         const std::size_t open = rig.open();
         EXPECT_EQ(first(rig.ask(c, "QUERY a1 ABORT")), "DONE -");
-        rig.run(millis(5000));
+        rig.run(milliseconds(5000));
         EXPECT_EQ(aborts, 1);
         EXPECT_LT(rig.open(), open);
         EXPECT_EQ(first(rig.ask(c, "QUERY w2 WRITE x 1")).substr(0, 4), "DONE");
@@ -237,23 +237,23 @@
     rig.ask(a, "QUERY a0 WRITE x 1");
     rig.holdsAnswers = true;
     rig.say(a, "QUERY a1 READ x");
-    rig.run(millis(1200));  // over its deadline
+    rig.run(milliseconds(1200));  // over its deadline
     EXPECT_TRUE(promises(errorIn(rig.told(a))));
     rig.say(a, "QUERY a2 READ y");
-    rig.run(millis(10));
+    rig.run(milliseconds(10));
     rig.leave(a);
     rig.say(b, "QUERY b1 WRITE x 1");
-    rig.run(millis(10));
+    rig.run(milliseconds(10));
     rig.holdsAnswers = false;
     rig.deliver();
-    rig.run(millis(900));
+    rig.run(milliseconds(900));
     const Lines told = rig.told(b);
     ASSERT_EQ(told.size(), 2u);
     // The store was silent for long: a promise will do, but no answer of another's.
     const bool served = rig.databases.stampedFor(told[0].substr(5)) == "b1";
     EXPECT_TRUE(served || promises(errorIn(told))) << told[0];
     EXPECT_EQ(rig.databases.effects("b1"), served ? 1 : 0);
-    rig.run(millis(2000));
+    rig.run(milliseconds(2000));
     EXPECT_EQ(rig.databases.stampedFor(first(rig.ask(b, "QUERY b2 WRITE x 1")).substr(5)), "b2");
 }
 
@@ -265,15 +265,15 @@
     rig.ask(c, "QUERY b1 BEGIN");
     rig.ask(c, "QUERY r1 READ x");
     rig.leases = false;
-    rig.pass(millis(800));
+    rig.pass(milliseconds(800));
     rig.databases.slow("s0", true);
     rig.databases.slow("s2", true);
     ASSERT_TRUE(rig.databases.promote("s1"));
     commitElsewhere(rig, "other");
     EXPECT_EQ(rig.databases.commits(), 2u);
-    rig.pass(millis(20));
+    rig.pass(milliseconds(20));
     EXPECT_EQ(first(rig.ask(c, "QUERY c1 COMMIT")).substr(0, 4), "DONE");
-    rig.pass(millis(1490));  // the other's commit is now older than the route allows
+    rig.pass(milliseconds(1490));  // the other's commit is now older than the route allows
     for (int i = 0; i < 6; ++i) {
         const Lines told = rig.ask(reader, "QUERY o" + std::to_string(i) + " READ x");
         EXPECT_TRUE(first(told) == "ROW 2" || errorIn(told) == "BUSY") << first(told);
@@ -289,14 +289,14 @@
     rig.cutAll("s2");
     rig.databases.slow("s1", true);
     rig.databases.slow("s2", true);
-    rig.pass(millis(100));
+    rig.pass(milliseconds(100));
     commitElsewhere(rig, "other");
-    rig.pass(millis(100));
+    rig.pass(milliseconds(100));
     rig.holdsAnswers = true;
     rig.say(reader, "QUERY r1 READ x");
     while (rig.step()) {
     }
-    rig.pass(millis(100));
+    rig.pass(milliseconds(100));
     ASSERT_FALSE(rig.linesTo("s1").empty() && rig.linesTo("s2").empty());
     const std::string next = rig.linesTo("s1").empty() ? "s2" : "s1";
     rig.databases.slow(next, false);
@@ -305,9 +305,9 @@
     rig.standing("s0", "");  // so that the one replica left is the one that lags
     rig.deliver();
     rig.holdsAnswers = false;
-    rig.run(millis(20));
+    rig.run(milliseconds(20));
     rig.leases = false;
-    rig.pass(millis(1340));  // so that 1,500 ms ago lies between the other's commit and the greeting
+    rig.pass(milliseconds(1340));  // so that 1,500 ms ago lies between the other's commit and the greeting
     rig.told(reader);
     for (int i = 0; i < 4; ++i) {
         const Lines told = rig.ask(reader, "QUERY o" + std::to_string(i) + " READ x");
@@ -354,12 +354,12 @@
         return fault;
     };
     rig.say(c, word == "COMMIT" ? "QUERY c1 COMMIT" : "QUERY w1 WRITE x 1");
-    rig.run(millis(20));
+    rig.run(milliseconds(20));
     if (end == End::newLead) {
         ASSERT_TRUE(rig.databases.promote("s1"));
         rig.lead("s1");
     }
-    rig.run(millis(2500));
+    rig.run(milliseconds(2500));
     const Lines told = rig.told(c);
     const std::string error = errorIn(told);
     SCOPED_TRACE(word + " end " + std::to_string(static_cast<int>(end)) + " arrives " +
@@ -398,7 +398,7 @@
             const Lines told = rig.ask(c, commit ? "QUERY c1 COMMIT" : "QUERY w1 WRITE x 1");
             EXPECT_EQ(promises(errorIn(told)), promises(error)) << word << error << first(told);
             EXPECT_EQ(state(told), "I") << word << error;
-            rig.run(millis(1500));
+            rig.run(milliseconds(1500));
             EXPECT_EQ(rig.databases.effects("w1"), promises(error) ? 0 : 1) << word << error;
         }
 }
@@ -412,15 +412,15 @@
         rig.ask(c, "QUERY w" + name + " WRITE x 1");
     }
     rig.pooler->leave(rig.now);
-    rig.run(millis(1500));
+    rig.run(milliseconds(1500));
     rig.ask(rests, "QUERY r1 READ x");  // so that it isn't ended for resting too long
-    rig.run(millis(1400));
+    rig.run(milliseconds(1400));
     rig.say(works, "QUERY r2 READ x");  // before the half is over, and so it keeps its connection
-    rig.run(millis(50));
+    rig.run(milliseconds(50));
     EXPECT_EQ(state(rig.told(works)), "T");
     EXPECT_EQ(first(rig.ask(works, "QUERY c2 COMMIT")).substr(0, 4), "DONE");
     EXPECT_FALSE(rig.ended(rests));
-    rig.run(millis(200));
+    rig.run(milliseconds(200));
     EXPECT_TRUE(rig.ended(rests));
     EXPECT_EQ(rig.databases.effects("w" + std::to_string(rests)), 0);
     EXPECT_EQ(rig.databases.effects("w" + std::to_string(works)), 1);
@@ -435,9 +435,9 @@
         rig.ask(c, "QUERY r0 READ x");
         if (lateGrant) {  // asked before, answered after
             rig.leases = false;
-            rig.run(millis(250));
+            rig.run(milliseconds(250));
         }
-        rig.freeze(millis(20'000));
+        rig.freeze(milliseconds(20'000));
         ASSERT_TRUE(rig.databases.promote("s1"));
         commitElsewhere(rig, "other");
         rig.databases.slow("s0", true);
@@ -464,7 +464,7 @@
         rig.say(c, std::string("QUERY q1 ") + text);
         while (rig.step()) {
         }
-        rig.freeze(millis(20'000));
+        rig.freeze(milliseconds(20'000));
         rig.holdsAnswers = false;
         rig.deliver();  // the greeting of the line that it waits for comes before any timer
         while (rig.step()) {
@@ -486,7 +486,7 @@
     rig.ask(c, "QUERY r0 READ x");
     rig.leases = false;
     auto answer = [&](int left_ms, const json& unsettled) {
-        rig.run(millis(205));
+        rig.run(milliseconds(205));
         rig.pooler->agentSaid(
             {{"k", "lease"}, {"t", rig.toCourier.back()["t"]}, {"left", left_ms * 1000}, {"c", unsettled}},
             rig.now);
@@ -503,7 +503,7 @@
     const int c = opened(rig);
     rig.ask(c, "QUERY r0 READ x");
     rig.leases = false;
-    rig.run(millis(1000));
+    rig.run(milliseconds(1000));
     const json question = rig.toCourier.back()["t"];
     rig.pooler->agentDown();
     rig.pooler->agentUp(rig.now);
@@ -530,7 +530,7 @@
         rig_.holdsAnswers = false;
         rig_.deliver();
         lease(true);
-        rig_.run(millis(8000));
+        rig_.run(milliseconds(8000));
         hear();
         audit();
         return fault_;
@@ -594,7 +594,7 @@
                 rig_.deliver();
                 break;
             case 3:
-                rig_.run(millis(pick(60)));
+                rig_.run(milliseconds(pick(60)));
                 break;
             case 4:
                 if (pick(8) == 0) rig_.cutAll("s" + std::to_string(pick(3)));
@@ -603,7 +603,7 @@
                 if (pick(10) == 0) promote();
                 break;
             case 6:
-                if (pick(10) == 0) rig_.freeze(millis(pick(3000)));
+                if (pick(10) == 0) rig_.freeze(milliseconds(pick(3000)));
                 break;
             case 7:
                 if (pick(5) == 0) lease(!rig_.leases);
@@ -625,7 +625,7 @@
 
     void promote() {
         lease(false);  // as control has it: no lease outlives the old lead
-        rig_.run(millis(760));
+        rig_.run(milliseconds(760));
         const std::string next = "s" + std::to_string(pick(3));
         rig_.databases.slow(next, false);
         rig_.databases.promote(next);
@@ -664,9 +664,9 @@
         clients_.erase(clients_.begin() + static_cast<std::ptrdiff_t>(at));
     }
 
-    std::size_t acknowledged(Nanos before) const {
+    std::size_t acknowledged(Nanoseconds before) const {
         std::size_t count = 0;
-        for (const Nanos at : acknowledged_) count += at < before;
+        for (const Nanoseconds at : acknowledged_) count += at < before;
         return count;
     }
 
@@ -709,11 +709,12 @@
         }
         if (ask.text == "BEGIN" || ask.text == "BEGIN READ") {
             c.inTx = true;
-            c.txCommitted = acknowledged(c.bounded ? rig_.now - millis(1500) : rig_.now);
+            c.txCommitted = acknowledged(c.bounded ? rig_.now - milliseconds(1500) : rig_.now);
         } else if (ask.text == "COMMIT" || ask.text == "ABORT") {
             c.inTx = false;
         }
-        ask.committed = c.inTx ? c.txCommitted : acknowledged(c.bounded ? rig_.now - millis(1500) : rig_.now);
+        ask.committed =
+            c.inTx ? c.txCommitted : acknowledged(c.bounded ? rig_.now - milliseconds(1500) : rig_.now);
         c.asks.push_back(ask);
         rig_.say(c.no, "QUERY " + ask.id + " " + ask.text);
         hear();
@@ -808,7 +809,7 @@
     std::mt19937 random_;
     PoolerRig rig_;
     std::vector<Client> clients_, gone_;
-    std::vector<Nanos> acknowledged_;
+    std::vector<Nanoseconds> acknowledged_;
     std::string fault_;
     int asked_ = 0;
     bool calm_ = false, unheard_ = false;
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -28,12 +28,12 @@
 // One member, with what others say given by hand. Links 1 to 4 are dialled to the members "b" to "e".
 struct Lone {
     settings::Settings settings;
-    Nanos now = millis(5'000);
+    Nanoseconds now = milliseconds(5'000);
     std::unique_ptr<ControlMember> member;
     std::vector<Json> said;
     std::map<std::string, Json> disk;
 
-    explicit Lone(std::map<std::string, Json> before = {}, Nanos at = millis(5'000))
+    explicit Lone(std::map<std::string, Json> before = {}, Nanoseconds at = milliseconds(5'000))
         : now(at), disk(std::move(before)) {
         settings.controlAddress = "a";
         settings.station = "control-a";
@@ -75,9 +75,9 @@
         for (const auto& [name, slot] : slots) all[name] = written(slot);
         hear(link, {{"k", "dump"}, {"e", epoch}, {"slots", all}});
     }
-    void run(Nanos time) {
-        for (const Nanos until = now + time; now < until;) {
-            now += millis(50);
+    void run(Nanoseconds time) {
+        for (const Nanoseconds until = now + time; now < until;) {
+            now += milliseconds(50);
             member->tick(now);
             collect();
         }
@@ -126,7 +126,7 @@
 TEST(UnsettledLead, IsToldByAVoterThatReadItFromOthersDisks) {
     Lone lone;
     lone.hello(1, 1, {"a", "b", "c"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     for (const int link : {1, 2}) lone.dump(link, 1, {{"lead/svc", slotOf(4, leadOf(6, false))}});
     ASSERT_TRUE(lone.votes());
     EXPECT_EQ(lone.round(1)->unsettled, (LeadMarks{{"svc", 6}}));
@@ -150,28 +150,28 @@
 TEST(Lease, IsHadFromAMajorityOfOneEpochOnly) {
     const Core first{1, {"a", "b", "c", "d"}}, second{2, {"a", "b", "c"}};
     LeaseRounds rounds;
-    const LeaseQuestion old = rounds.begin(first, "a", millis(1000));
+    const LeaseQuestion old = rounds.begin(first, "a", milliseconds(1000));
     rounds.answered("b", {old.round, 1, {}}, first);
     // The epoch changes: three of the earlier epoch are no two of this one.
     rounds.answered("c", {old.round, 1, {}}, second);
     rounds.answered("c", {old.round, 2, {}}, second);
     EXPECT_EQ(rounds.until(), 0);
-    const LeaseQuestion present = rounds.begin(second, "a", millis(1100));
+    const LeaseQuestion present = rounds.begin(second, "a", milliseconds(1100));
     rounds.answered("b", {present.round, 1, {}}, second);
     rounds.answered("d", {present.round, 2, {}}, second);
     EXPECT_EQ(rounds.until(), 0);
     rounds.answered("b", {present.round, 2, {}}, second);
-    EXPECT_EQ(rounds.until(), millis(1100) + LeaseRounds::leaseTime);
+    EXPECT_EQ(rounds.until(), milliseconds(1100) + LeaseRounds::leaseTime);
 }
 
 TEST(Lease, RunsFromTheSendingHoweverLateAnAnswerIsRead) {
     Lone lone({{"core", coreOf(1, {"a", "b", "c"})}});
-    lone.run(millis(100));
+    lone.run(milliseconds(100));
     lone.hear(1, LeaseAnswer{1, 1, {}}.toJson());
     EXPECT_GT(lone.lease(), 500);
     // Frozen for 20 s with an answer in its buffer: that ends long before, and nothing is told under it.
-    lone.run(millis(300));
-    lone.now += millis(20'000);
+    lone.run(milliseconds(300));
+    lone.now += milliseconds(20'000);
     lone.hear(1, LeaseAnswer{2, 1, {}}.toJson());
     lone.said.clear();
     lone.hear(1, {{"k", "lease?"}, {"t", 1}});
@@ -181,12 +181,12 @@
 
 TEST(Lease, IsNotHadByAMemberThatWokeBeforeTheOthersAnswerAnew) {
     World world(3, 0, 8);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     const std::string who = World::address(0);
     world.frozen.insert(who);
-    world.run(millis(1000));
+    world.run(milliseconds(1000));
     const auto call = world.put(World::address(1), 5, "x");
-    world.run(millis(19'000));
+    world.run(milliseconds(19'000));
     ASSERT_TRUE(world.taken(World::address(1), call));
     world.frozen.clear();
     world.resume();
@@ -195,7 +195,7 @@
         EXPECT_TRUE(state["lease_left_ms"] == 0 || state["edition"] == 5) << i;
         world.step();
     }
-    world.run(millis(500));
+    world.run(milliseconds(500));
     EXPECT_GT(world.members[who].control->state(world.now)["lease_left_ms"], 0);
 }
 
@@ -204,7 +204,7 @@
 TEST(Recovery, CountsVotersOfItsEpochOtherThanItself) {
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c", "d", "e"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     EXPECT_GT(lone.count("dump?"), 0u);
     lone.dump(1, 4);
     lone.dump(1, 4);
@@ -221,7 +221,7 @@
 TEST(Recovery, CountsNoMemberWithoutAVote) {
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     lone.dump(1, 4);
     lone.dump(3, 4);
     EXPECT_FALSE(lone.votes());
@@ -238,7 +238,7 @@
     EXPECT_EQ(lone.count("abstains"), 1u);
     EXPECT_EQ(lone.count("promised"), 0u);
     EXPECT_FALSE(lone.round(4));
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     for (const int link : {1, 2}) lone.dump(link, 4);
     lone.hear(1, request.toJson());
     EXPECT_EQ(lone.count("promised"), 1u);
@@ -250,11 +250,11 @@
 TEST(Recovery, AsksOnlyOnceItsEarlierLifesAnswersAreOutOfUse) {
     Lone lone;
     lone.hello(1, 1, {"a", "b", "c"});
-    lone.run(millis(1100));
+    lone.run(milliseconds(1100));
     EXPECT_EQ(lone.count("dump?"), 0u);
     for (const int link : {1, 2}) lone.dump(link, 1);
     EXPECT_FALSE(lone.votes());
-    lone.run(millis(200));
+    lone.run(milliseconds(200));
     EXPECT_EQ(lone.count("dump?"), 2u);
     EXPECT_FALSE(lone.votes());
 }
@@ -262,10 +262,10 @@
 TEST(Recovery, BeginsAnewInALaterEpoch) {
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     lone.dump(1, 4);
     lone.hear(2, {{"k", "stale"}, {"e", 5}, {"c", {"a", "b", "c"}}});
-    lone.run(millis(50));
+    lone.run(milliseconds(50));
     lone.dump(2, 5);
     EXPECT_FALSE(lone.votes());
     lone.dump(1, 5);
@@ -275,11 +275,11 @@
 TEST(Recovery, GoesOnInItsNextLife) {
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     lone.dump(1, 4);
     Lone next(lone.disk, lone.now);
     EXPECT_FALSE(next.votes());
-    next.run(millis(1300));
+    next.run(milliseconds(1300));
     next.dump(2, 4);
     EXPECT_FALSE(next.votes());
     next.dump(1, 4);
@@ -291,11 +291,11 @@
 TEST(Recovery, IsNotSkippedByHearingAnOldEpochFirst) {
     Lone lone;
     lone.hello(1, 4, {"b", "c", "d"});
-    lone.run(millis(1500));
+    lone.run(milliseconds(1500));
     lone.dump(1, 4);
     lone.hello(2, 6, {"a", "c", "d", "e"});
     EXPECT_FALSE(lone.votes());
-    lone.run(millis(100));
+    lone.run(milliseconds(100));
     for (const int link : {2, 3}) lone.dump(link, 6);
     EXPECT_FALSE(lone.votes());
     lone.dump(4, 6);
@@ -306,16 +306,16 @@
 TEST(Recovery, DoesNotEndInAnEpochThatMayBeOver) {
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c"});
-    lone.run(millis(1300));
+    lone.run(milliseconds(1300));
     lone.dump(1, 4, {{"core", slotOf(9, coreOf(5, {"a", "b", "c", "d"}))}});
     lone.dump(2, 4);
     EXPECT_FALSE(lone.votes());
     // It finds out whether that was chosen, in case that nobody else does.
     EXPECT_EQ(lone.count("prepare"), 0u);
-    lone.run(millis(350));
+    lone.run(milliseconds(350));
     EXPECT_EQ(lone.count("prepare"), 2u);
     lone.hear(2, {{"k", "stale"}, {"e", 5}, {"c", {"a", "b", "c", "d"}}});
-    lone.run(millis(50));
+    lone.run(milliseconds(50));
     for (const int link : {1, 2, 3}) lone.dump(link, 5);
     EXPECT_TRUE(lone.votes());
 }
@@ -360,18 +360,18 @@
 // does not know of: the others wait. (Given a vote, it could not use it, and the majority would be larger.)
 TEST(Recovery, OfAMemberThatComesGoesBeforeItsVote) {
     World world(3, 0, 5);
-    world.run(millis(2000));
+    world.run(milliseconds(2000));
     const std::string fourth = World::address(3);
     world.members[fourth].settings = world.members[World::address(0)].settings;
     world.members[fourth].settings.controlAddress = fourth;
     world.members[fourth].settings.firstBoot = false;
     for (const int other : {1, 2}) world.cut.insert({World::address(other), fourth});
     world.start(fourth);
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     EXPECT_EQ(world.members[World::address(0)].control->state(world.now)["voters"].size(), 3u);
     world.cut.clear();
     world.kill(World::address(2));
-    world.run(millis(3000));
+    world.run(milliseconds(3000));
     // It has taken the place of the one that is gone.
     const Json state = world.members[fourth].control->state(world.now);
     EXPECT_EQ(state["voters"], Json({World::address(0), World::address(1), fourth}));
@@ -381,7 +381,7 @@
 TEST(Recovery, OfAMemberWithoutAVoteReadsOnlyWhetherTheEpochStands) {
     Lone lone;
     lone.hello(1, 4, {"b", "c", "d"});
-    lone.run(millis(100));
+    lone.run(milliseconds(100));
     EXPECT_EQ(lone.said.back().value("only", ""), "core");
     for (const int link : {1, 2}) lone.dump(link, 4);
     EXPECT_FALSE(lone.member->state(lone.now)["recovering"]);
@@ -392,9 +392,10 @@
 // Two of five and two of nine disks are lost, at once or one after the other; what was acknowledged stays.
 TEST(Recovery, OfTwoDisksKeepsWhatWasAcknowledged) {
     for (const int size : {5, 9})
-        for (const Nanos apart : {millis(0), millis(1), millis(700), millis(1250), millis(3000)}) {
+        for (const Nanoseconds apart :
+             {milliseconds(0), milliseconds(1), milliseconds(700), milliseconds(1250), milliseconds(3000)}) {
             World world(3, size - 3, 21);
-            world.run(millis(1500 + 900 * size));
+            world.run(milliseconds(1500 + 900 * size));
             const std::string reader = World::address(size - 1);
             ASSERT_EQ(world.members[reader].control->state(world.now)["voters"].size(),
                       static_cast<std::size_t>(size));
@@ -403,7 +404,7 @@
                 for (int j = 0; j < size; ++j)
                     if (i != j) world.cut.insert({World::address(i), World::address(j)});
             const auto call = world.put(World::address(2), 5, "kept");
-            world.run(millis(300));
+            world.run(milliseconds(300));
             ASSERT_TRUE(world.taken(World::address(2), call));
             world.cut.clear();
             for (const int lost : {0, 1}) {
@@ -411,12 +412,12 @@
                 world.start(World::address(lost));
                 if (lost == 0) world.run(apart);
             }
-            world.run(millis(4000));
+            world.run(milliseconds(4000));
             for (const int lost : {0, 1})
                 EXPECT_TRUE(world.members[World::address(lost)].control->state(world.now)["votes"]);
             // The two and those who had not heard of it are a majority by now.
             for (int i = 2; i < size / 2 + 1; ++i) world.kill(World::address(i));
-            world.run(millis(1000));
+            world.run(milliseconds(1000));
             const auto read = world.get(reader);
             ASSERT_TRUE(read) << size << " " << apart;
             EXPECT_EQ(read->at("mark"), "kept") << size << " " << apart;
@@ -429,24 +430,24 @@
     int changed = 0;
     for (int at = 0; at < 40; ++at) {
         World world(3, 2, 5);
-        world.run(millis(5000));
+        world.run(milliseconds(5000));
         const std::string gone = World::address(4), successor = World::address(5);
         const Json before = world.members[gone].control->state(world.now);
         ASSERT_EQ(before["voters"].size(), 5u);
         const auto call = world.put(World::address(2), 5, "kept");
-        world.run(millis(100));
+        world.run(milliseconds(100));
         ASSERT_TRUE(world.taken(World::address(2), call));
         world.members[successor].settings = world.members[World::address(0)].settings;
         world.members[successor].settings.controlAddress = successor;
         world.members[successor].settings.firstBoot = false;
         world.kill(gone);
         world.start(successor);
-        world.run(millis(800) + millis(50) * at);
+        world.run(milliseconds(800) + milliseconds(50) * at);
         const std::string lost = World::address(at % 4);
         world.kill(lost, true);
-        world.run(millis(30));
+        world.run(milliseconds(30));
         world.start(lost);
-        world.run(millis(6000));
+        world.run(milliseconds(6000));
         for (const int i : {0, 1, 2, 3, 5}) {
             const Json state = world.members[World::address(i)].control->state(world.now);
             EXPECT_EQ(state["voters"].size(), 5u) << at << " " << i;
--- a/tests/system/registers.cpp
+++ b/tests/system/registers.cpp
@@ -37,20 +37,21 @@
                                      return Json{{"edition", 7}, {"body", i}};
                                  },
                                  [this, i](std::optional<Json> stands) { ended[i] = stands; }},
-                                1, millis(1'000'000));
+                                1, milliseconds(1'000'000));
             collect(i);
         }
     }
     void collect(int i) {
         for (auto& [to, message] : proposers[i]->takeSaid()) under.push_back({i, to, message});
     }
-    void deliver(std::size_t which, Nanos now) {
+    void deliver(std::size_t which, Nanoseconds now) {
         const Message m = under[which];
         under.erase(under.begin() + static_cast<std::ptrdiff_t>(which));
         Acceptor& acceptor = acceptors[m.voter];
         const Json reply = acceptor.answer(VoteRequest::fromJson(m.body)).reply.toJson();
         proposers[m.proposer]->heard(m.voter, reply, now);
-        proposers[m.proposer]->tick(now + millis(300));  // a pause after a clash is over at the next step
+        proposers[m.proposer]->tick(now +
+                                    milliseconds(300));  // a pause after a clash is over at the next step
         collect(m.proposer);
     }
     // What a majority without this member reads afterwards.
@@ -69,8 +70,8 @@
     // read.
     auto explore = [&](auto& self, std::size_t depth) -> void {
         Duel duel;
-        Nanos now = millis(1);
-        for (const std::size_t which : order) duel.deliver(which, now += millis(400));
+        Nanoseconds now = milliseconds(1);
+        for (const std::size_t which : order) duel.deliver(which, now += milliseconds(400));
         ++orders;
         for (const auto& ended : duel.ended) {
             if (!ended) continue;
--- a/tests/system/succession.cpp
+++ b/tests/system/succession.cpp
@@ -12,17 +12,17 @@
 TEST(Succession, LosesNothingWhicheverReplicaIsFurther) {
     for (const char* ahead : {"s1", "s2"}) {
         Rule rule;
-        Succession owner("m1", "svc", millis(900), rule);
-        Nanos now = millis(10'000);
+        Succession owner("m1", "svc", milliseconds(900), rule);
+        Nanoseconds now = milliseconds(10'000);
         owner.own(true, now);
-        settleDown(rule, owner, now, millis(500));
+        settleDown(rule, owner, now, milliseconds(500));
         ASSERT_TRUE(rule.lead && rule.lead->steady);
         rule.databases.deaf(ahead[1] == '1' ? "s2" : "s1", true);
         for (int i = 0; i < 5; ++i) rule.write("w" + std::to_string(i));
         ASSERT_EQ(rule.acknowledged.size(), 5u);
         rule.databases.dark("s0", true);
         owner.suspected("s0", now);
-        settleDown(rule, owner, now, millis(4000));
+        settleDown(rule, owner, now, milliseconds(4000));
         EXPECT_EQ(rule.databases.lead(), ahead);
         ASSERT_TRUE(rule.lead->steady);
         EXPECT_EQ(rule.lead->store, ahead);
@@ -32,42 +32,42 @@
 
 TEST(Succession, WaitsForTheReplicaThatMayHoldTheLastCommit) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
-    Nanos now = millis(10'000);
+    Succession owner("m1", "svc", milliseconds(900), rule);
+    Nanoseconds now = milliseconds(10'000);
     owner.own(true, now);
-    settleDown(rule, owner, now, millis(500));
+    settleDown(rule, owner, now, milliseconds(500));
     rule.databases.deaf("s2", true);
     rule.write("w1");
     rule.databases.dark("s0", true);
     rule.databases.dark("s1", true);  // the one that has it
     owner.suspected("s0", now);
-    settleDown(rule, owner, now, millis(6000));
+    settleDown(rule, owner, now, milliseconds(6000));
     EXPECT_EQ(rule.databases.lead(), "s0");
     EXPECT_EQ(rule.highestFence, 0u);
     rule.databases.dark("s1", false);
-    settleDown(rule, owner, now, millis(4000));
+    settleDown(rule, owner, now, milliseconds(4000));
     EXPECT_EQ(rule.databases.lead(), "s1");
     EXPECT_EQ(rule.databases.effects("w1"), 1);
 }
 
 TEST(Succession, PromotesNothingForAFalseAlarm) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
-    Nanos now = millis(10'000);
+    Succession owner("m1", "svc", milliseconds(900), rule);
+    Nanoseconds now = milliseconds(10'000);
     owner.own(true, now);
-    settleDown(rule, owner, now, millis(500));
+    settleDown(rule, owner, now, milliseconds(500));
     for (int i = 0; i < 20; ++i) {
         owner.suspected("s0", now);
-        settleDown(rule, owner, now, millis(250));
+        settleDown(rule, owner, now, milliseconds(250));
     }
     EXPECT_EQ(rule.lead->fence, 0u);
     // It is silent for a while, and back before anyone could be promoted: it leads on, and its replicas
     // receive.
     rule.databases.dark("s0", true);
     owner.suspected("s0", now);
-    settleDown(rule, owner, now, millis(500));
+    settleDown(rule, owner, now, milliseconds(500));
     rule.databases.dark("s0", false);
-    settleDown(rule, owner, now, millis(3000));
+    settleDown(rule, owner, now, milliseconds(3000));
     EXPECT_EQ(rule.databases.lead(), "s0");
     EXPECT_TRUE(rule.lead->steady);
     rule.write("w1");
@@ -76,18 +76,18 @@
 
 TEST(Succession, PassesOnAPlannedLeadWithoutCuttingAnythingBack) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
-    Nanos now = millis(10'000);
+    Succession owner("m1", "svc", milliseconds(900), rule);
+    Nanoseconds now = milliseconds(10'000);
     owner.own(true, now);
-    settleDown(rule, owner, now, millis(500));
+    settleDown(rule, owner, now, milliseconds(500));
     rule.beat("s0", "winding_down");
     for (int i = 0; i < 60; ++i) {
         rule.write("w" + std::to_string(i));
-        settleDown(rule, owner, now, millis(50));
+        settleDown(rule, owner, now, milliseconds(50));
         // The platform's list follows who leads, and s0 still winds down.
         if (i == 30) rule.beat("s0", "winding_down");
     }
-    settleDown(rule, owner, now, millis(2000));
+    settleDown(rule, owner, now, milliseconds(2000));
     EXPECT_NE(rule.databases.lead(), "s0");
     EXPECT_TRUE(rule.lead->steady);
     EXPECT_GT(rule.acknowledged.size(), 55u);
@@ -104,10 +104,10 @@
         for (const bool answers : {true, false})
             for (int steps = 0; steps < 14; ++steps) {
                 Rule rule;
-                Nanos now = millis(10'000);
-                auto first = std::make_unique<Succession>("m1", "svc", millis(900), rule);
+                Nanoseconds now = milliseconds(10'000);
+                auto first = std::make_unique<Succession>("m1", "svc", milliseconds(900), rule);
                 first->own(true, now);
-                settleDown(rule, *first, now, millis(500));
+                settleDown(rule, *first, now, milliseconds(500));
                 rule.databases.deaf("s2", true);
                 for (int i = 0; i < 4; ++i) rule.write("w" + std::to_string(i));
                 rule.databases.deaf("s2", planned);
@@ -117,7 +117,7 @@
                     rule.databases.dark("s0", true), first->suspected("s0", now);
                 int left = steps;
                 Outputs late;
-                for (int i = 0; i < 80 && left > 0; ++i, now += millis(50)) {
+                for (int i = 0; i < 80 && left > 0; ++i, now += milliseconds(50)) {
                     first->tick(now);
                     if (left == 1) {
                         rule.serve(*first, now, 1, answers);
@@ -128,10 +128,10 @@
                 }
                 late = std::exchange(rule.out, {});
                 first.reset();
-                Succession second("m2", "svc", millis(900), rule);
+                Succession second("m2", "svc", milliseconds(900), rule);
                 second.own(true, now);
                 if (!planned) second.suspected("s0", now);
-                settleDown(rule, second, now, millis(500));
+                settleDown(rule, second, now, milliseconds(500));
                 // What the dead one had still on its way comes late: an older fence changes nothing.
                 const std::string leads = rule.databases.lead();
                 for (Output& each : late)
@@ -142,9 +142,9 @@
                         EXPECT_EQ(rule.databases.lead(), leads);
                     }
                 if (!planned) second.suspected("s0", now);
-                settleDown(rule, second, now, millis(9000));
+                settleDown(rule, second, now, milliseconds(9000));
                 if (!planned && rule.lead && rule.lead->store == "s0") second.suspected("s0", now);
-                settleDown(rule, second, now, millis(5000));
+                settleDown(rule, second, now, milliseconds(5000));
                 ASSERT_TRUE(rule.lead && rule.lead->steady) << planned << answers << steps;
                 EXPECT_NE(rule.databases.lead(), "s0") << planned << answers << steps;
                 EXPECT_EQ(rule.lead->store, rule.databases.lead()) << planned << answers << steps;
--- a/tests/tier.cpp
+++ b/tests/tier.cpp
@@ -1,9 +1,10 @@
 // Several fronts as processes, with links between them that fail by a script: they know each other, and every
 // item gets one answer.
+#include "standins/tier.hpp"
+
 #include <algorithm>
 #include <fstream>
 
-#include "standins/tier.hpp"
 #include "tier/letter.hpp"
 #include "tier/tier.pb.h"
 
@@ -87,7 +88,8 @@
     tier.links().set(1, 0, {.cut = true});
     const int passed = tier.links().passed(0, 2);
     tier.until([&] { return tier.links().passed(0, 2) > passed + 30; });
-    for (int i = 0; i < 5; ++i) assert(tier.front(i).count("is gone", before[static_cast<std::size_t>(i)]) == 0);
+    for (int i = 0; i < 5; ++i)
+        assert(tier.front(i).count("is gone", before[static_cast<std::size_t>(i)]) == 0);
 }
 
 // Links that lose, repeat, delay, reorder and spoil: nobody is called gone, and what is spoilt is counted.
@@ -116,7 +118,8 @@
     tier.stop();
 }
 
-// A front that starts from nothing goes above what is remembered of it, however high, and whatever the clock says.
+// A front that starts from nothing goes above what is remembered of it, however high, and whatever the clock
+// says.
 void goesAboveWhatIsRemembered() {
     Tier tier(PROGRAM, {.count = 2, .seed = 5});
     tier.start(0);
@@ -124,7 +127,7 @@
     said.birth = 99;
     said.members = 2;
     said.incarnation = 1;
-    said.age = millis(3600'000);
+    said.age = milliseconds(3600'000);
     said.nth = 1;
     said.facts = {{0, tier::State::gone, 4'000'000, 1}};
     tier.links().inject(1, 0, tier::write(said, "rig", 1, 0));
@@ -157,7 +160,8 @@
 // What is not believed: held back until it is old, another tier's, a stranger's, cut at every byte, every bit
 // flipped. Nothing changes by it, and each is counted.
 void believesNothingElse() {
-    Tier tier(PROGRAM, {.count = 3, .seed = 7, .tier = "name: \"rig\" round_ms: 200 answer_ms: 80 good_for_ms: 1500"});
+    Tier tier(PROGRAM,
+              {.count = 3, .seed = 7, .tier = "name: \"rig\" round_ms: 200 answer_ms: 80 good_for_ms: 1500"});
     tier.startAll();
     tier.settle();
     tier.links().set(1, 0, {.hold = true});
@@ -219,7 +223,8 @@
     assert(tier.front(0).count("speaks a version") == 1);
 }
 
-// One front more and one fewer, told by SIGHUP to each at its time; a list that can't be used changes nothing.
+// One front more and one fewer, told by SIGHUP to each at its time; a list that can't be used changes
+// nothing.
 void growsAndShrinks() {
     Tier tier(PROGRAM, {.count = 4, .seed = 9});
     for (int i = 0; i < 3; ++i) {
--- a/tests/tls.cpp
+++ b/tests/tls.cpp
@@ -23,7 +23,7 @@
 
 // Statements first, then probes, then renewals; so many at once in all, and to one store.
 void turnsInOrder() {
-    Nanos now = millis(1000);
+    Nanoseconds now = milliseconds(1000);
     Pace pace({3, 2, 0.9, 0}, now);
     const auto renewal = pace.asks("a", For::renewal, 0, now), probe = pace.asks("b", For::probe, 0, now);
     const auto first = pace.asks("a", For::statement, 0, now),
@@ -32,7 +32,7 @@
     assert(pace.next(now) == first && pace.next(now) == second);
     assert(pace.next(now) == probe);  // a has two
     assert(!pace.next(now));
-    pace.ended(first, End_::full, millis(1), now);
+    pace.ended(first, End_::full, milliseconds(1), now);
     assert(pace.next(now) == third);
     pace.leaves(second), pace.leaves(third);
     assert(pace.next(now) == renewal && pace.underWay() == 2 && pace.waiting() == 0);
@@ -40,11 +40,11 @@
 
 // A storm of a thousand takes its share of the processor and no more, however many may be under way.
 void stormsKeepToTheirShare() {
-    Nanos now = millis(1000);
-    const Nanos begun = now, cost = millis(2);
+    Nanoseconds now = milliseconds(1000);
+    const Nanoseconds begun = now, cost = milliseconds(2);
     Pace pace({64, 64, 0.25, 0}, now);
     for (int i = 0; i < 1000; ++i) pace.asks("s" + std::to_string(i % 7), For::statement, 0, now);
-    Nanos spent = 0;
+    Nanoseconds spent = 0;
     while (pace.waiting() > 0) {
         while (const auto turn = pace.next(now)) {
             pace.ended(*turn, End_::full, cost, now);
@@ -52,18 +52,18 @@
         }
         assert(pace.waiting() == 0 || (pace.lookAt() && *pace.lookAt() > now));
         if (pace.lookAt()) now = *pace.lookAt();
-        assert(double(spent) < 0.25 * double(now - begun + millis(100)) + 10 * double(cost));
+        assert(double(spent) < 0.25 * double(now - begun + milliseconds(100)) + 10 * double(cost));
     }
     assert(double(spent) > 0.2 * double(now - begun));  // and it gets that share
 }
 
 // Renewals leave half of the purse to statements.
 void renewalsLeaveRoom() {
-    Nanos now = millis(1000);
+    Nanoseconds now = milliseconds(1000);
     Pace pace({64, 64, 0.1, 0}, now);
     for (int i = 0; i < 64; ++i) pace.asks("a", For::renewal, 0, now);
     int begun = 0;
-    while (const auto turn = pace.next(now)) pace.ended(*turn, End_::full, millis(1), now), ++begun;
+    while (const auto turn = pace.next(now)) pace.ended(*turn, End_::full, milliseconds(1), now), ++begun;
     assert(begun >= 4 && begun <= 6);
     const auto statement = pace.asks("b", For::statement, 0, now);
     assert(pace.next(now) == statement);
@@ -71,64 +71,65 @@
 
 // A store that can't be trusted is spared for longer and longer; one that breaks is the decisions' matter.
 void untrustedStoresAreSpared() {
-    Nanos now = millis(1000);
+    Nanoseconds now = milliseconds(1000);
     Pace pace({}, now);
-    Nanos last = 0;
+    Nanoseconds last = 0;
     for (int i = 0; i < 9; ++i) {
         const auto turn = pace.asks("a", For::statement, 0, now);
         assert(pace.next(now) == turn);
-        pace.ended(turn, End_::untrusted, millis(1), now);
-        Nanos spared = 0;
-        while (pace.spares("a", now + spared)) spared += millis(100);
-        assert(spared >= last && spared >= millis(1000) && spared <= millis(60'000));
+        pace.ended(turn, End_::untrusted, milliseconds(1), now);
+        Nanoseconds spared = 0;
+        while (pace.spares("a", now + spared)) spared += milliseconds(100);
+        assert(spared >= last && spared >= milliseconds(1000) && spared <= milliseconds(60'000));
         assert(!pace.spares("b", now));
         last = spared;
         now += spared;
     }
-    assert(last == millis(60'000));
+    assert(last == milliseconds(60'000));
     auto turn = pace.asks("a", For::statement, 0, now);
     assert(pace.next(now) == turn);
-    pace.ended(turn, End_::broken, millis(1), now);
+    pace.ended(turn, End_::broken, milliseconds(1), now);
     assert(!pace.spares("a", now));
     turn = pace.asks("a", For::statement, 0, now);
     assert(pace.next(now) == turn);
-    pace.ended(turn, End_::resumed, millis(1), now);
+    pace.ended(turn, End_::resumed, milliseconds(1), now);
     turn = pace.asks("a", For::statement, 0, now);
     assert(pace.next(now) == turn);
-    pace.ended(turn, End_::untrusted, millis(1), now);
-    assert(pace.spares("a", now + millis(900)) &&
-           !pace.spares("a", now + millis(1100)));  // from the start again
+    pace.ended(turn, End_::untrusted, milliseconds(1), now);
+    assert(pace.spares("a", now + milliseconds(900)) &&
+           !pace.spares("a", now + milliseconds(1100)));  // from the start again
 }
 
 // A store that has just started gets one handshake at a time.
 void coldStoresGetOneAtATime() {
-    Nanos now = millis(100'000);
-    Pace pace({16, 4, 0.9, millis(15'000)}, now);
-    for (int i = 0; i < 3; ++i) pace.asks("cold", For::statement, now - millis(5000), now);
+    Nanoseconds now = milliseconds(100'000);
+    Pace pace({16, 4, 0.9, milliseconds(15'000)}, now);
+    for (int i = 0; i < 3; ++i) pace.asks("cold", For::statement, now - milliseconds(5000), now);
     const auto turn = pace.next(now);
     assert(turn && !pace.next(now));
     pace.leaves(*turn);
-    assert(pace.next(now + millis(11'000)) && pace.next(now + millis(11'000)));  // warm by now
+    assert(pace.next(now + milliseconds(11'000)) && pace.next(now + milliseconds(11'000)));  // warm by now
 }
 
 // The store used last first, one at a time to each, two at once unless the time is short; done when none is
 // old.
 void renewalsInOrder() {
-    tls::Renewal renewal(millis(30'000));
-    Nanos now = millis(1'000'000);
-    std::map<std::string, Nanos> old{{"a", now - 3}, {"b", now - 1}, {"c", now - 2}};
+    tls::Renewal renewal(milliseconds(30'000));
+    Nanoseconds now = milliseconds(1'000'000);
+    std::map<std::string, Nanoseconds> old{{"a", now - 3}, {"b", now - 1}, {"c", now - 2}};
     assert(!renewal.next(old, 3, now));
     renewal.begins(now);
     assert(renewal.next(old, 3, now) == "b" && renewal.next(old, 3, now) == "c" &&
            !renewal.next(old, 3, now));
-    renewal.ended("b", millis(20));
+    renewal.ended("b", milliseconds(20));
     assert(renewal.next(old, 3, now) == "b");  // it has another, used since
-    renewal.ended("b", millis(20)), renewal.ended("c", millis(20));
+    renewal.ended("b", milliseconds(20)), renewal.ended("c", milliseconds(20));
     for (int i = 0; i < 50; ++i) old["s" + std::to_string(i)] = now;
     int atOnce = 0;
-    while (renewal.next(old, 5000, now + millis(10'000))) ++atOnce;
-    assert(atOnce > 10 && !renewal.overdue(now + millis(29'000)) && renewal.overdue(now + millis(30'000)));
-    for (const auto& [store, at] : old) renewal.ended(store, millis(20));
+    while (renewal.next(old, 5000, now + milliseconds(10'000))) ++atOnce;
+    assert(atOnce > 10 && !renewal.overdue(now + milliseconds(29'000)) &&
+           renewal.overdue(now + milliseconds(30'000)));
+    for (const auto& [store, at] : old) renewal.ended(store, milliseconds(20));
     assert(!renewal.next({}, 0, now) && !renewal.on());
 }
 
@@ -139,17 +140,17 @@
     const auto number = [](const tls::Tickets::Handle& held) {
         return held ? *static_cast<int*>(held.get()) : 0;
     };
-    for (int i = 1; i <= 5; ++i) tickets.keep("a", "name", 1, handle(i), 2000, millis(1000));
+    for (int i = 1; i <= 5; ++i) tickets.keep("a", "name", 1, handle(i), 2000, milliseconds(1000));
     assert(tickets.count() == 3);
     assert(number(tickets.take("a", "name", 1, 0)) == 5 && number(tickets.take("a", "name", 1, 0)) == 4);
     assert(number(tickets.take("b", "name", 1, 0)) == 0);
     assert(number(tickets.take("a", "other", 1, 0)) == 0 && tickets.count() == 0);  // of no use any more
-    tickets.keep("a", "name", 1, handle(6), 2000, millis(1000));
+    tickets.keep("a", "name", 1, handle(6), 2000, milliseconds(1000));
     assert(number(tickets.take("a", "name", 2, 0)) == 0);
-    tickets.keep("a", "name", 1, handle(7), 2000, millis(1000));
-    assert(number(tickets.take("a", "name", 1, millis(1000))) == 0);
+    tickets.keep("a", "name", 1, handle(7), 2000, milliseconds(1000));
+    assert(number(tickets.take("a", "name", 1, milliseconds(1000))) == 0);
     for (int i = 0; i < 100'000; ++i)
-        tickets.keep("s" + std::to_string(i % 5000), "name", 1, handle(i), 2000, millis(1000));
+        tickets.keep("s" + std::to_string(i % 5000), "name", 1, handle(i), 2000, milliseconds(1000));
     assert(tickets.bytes() <= 100'000 && tickets.count() > 30);
     tickets.dropAll();
     assert(tickets.count() == 0 && tickets.bytes() == 0);
@@ -542,8 +543,8 @@
         site.folder.write("trust.pem", site.authority.certificate() + next.certificate());
         site.reload();
         site.stage.logged("TLS: new certificates and terms hold");
-        // A store trusts both until every connection was made with the new certificate: a handshake may be under
-        // way at any moment.
+        // A store trusts both until every connection was made with the new certificate: a handshake may be
+        // under way at any moment.
         site.primary.seal(next.issue("p"), site.authority.certificate() + next.certificate());
         const auto renewed = next.issue(Authority::Wish{"front", -3600, 3600, "clientAuth"});
         site.folder.write("own.pem", renewed.certificate);
