--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -21,8 +21,8 @@
           [this](int link, Json message) {
               said_.push_back({link, std::move(message)});
           },
-          [](const std::string&, const board::Record&) {}),
-      newsBeforeLease_(board::newsBeforeLease) {
+          [](const std::string&, const gossip::Record&) {}),
+      newsBeforeLease_(gossip::newsBeforeLease) {
     search_.linked("", now);
     gossip_.own("front/" + settings_.station, {{"district", settings_.district}, {"ip", settings_.ip}});
 }
@@ -64,7 +64,7 @@
     }
     candidates_[link] = {address, now};
     greet(link);
-    said_.push_back({link, board::LeaseRequest{candidateQuestion}.toJson()});
+    said_.push_back({link, gossip::LeaseRequest{candidateQuestion}.toJson()});
 }
 
 void Agent::unreachable(const std::string& address, Nanos now) {
@@ -97,7 +97,7 @@
     else
         greet(link);
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(link, board::Side::dialler);
+    gossip_.join(link, gossip::Side::dialler);
 }
 
 void Agent::giveUp(int link, Nanos now) {
@@ -114,7 +114,7 @@
 void Agent::linkUp(int link, Nanos now) {
     below_.insert(link);
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(link, board::Side::acceptor);
+    gossip_.join(link, gossip::Side::acceptor);
 }
 
 void Agent::linkDown(int link, Nanos now) {
@@ -130,26 +130,26 @@
     const std::string kind = message.at("k");
     const bool candidate = candidates_.count(link) > 0;
     gossip_.advance(now, lease_.valid(now));
-    if (board::isGossip(kind)) {
+    if (gossip::isGossip(kind)) {
         // What a candidate tells is told again by the exchange that follows once it is the parent.
         if (!candidate) gossip_.heard(link, message);
-    } else if (kind == board::LeaseReply::kind) {
-        const board::LeaseReply reply = board::LeaseReply::fromJson(message);
+    } else if (kind == gossip::LeaseReply::kind) {
+        const gossip::LeaseReply reply = gossip::LeaseReply::fromJson(message);
         if (candidate)
             candidateReplied(link, reply, now);
         else if (link == up_)
             leaseReplied(reply, now);
-    } else if (kind == board::LeaseRequest::kind) {
-        const std::uint64_t number = board::LeaseRequest::fromJson(message).number;
-        const board::LeaseReply reply{number, lease_.left(now), lease_.unsettled(),
-                                      board::configurationVersion(board())};
+    } else if (kind == gossip::LeaseRequest::kind) {
+        const std::uint64_t number = gossip::LeaseRequest::fromJson(message).number;
+        const gossip::LeaseReply reply{number, lease_.left(now), lease_.unsettled(),
+                                       gossip::configurationVersion(board())};
         said_.push_back({link, reply.toJson()});
     } else if (kind == "suspect") {
         if (up_ != 0) said_.push_back({up_, message});
     }
 }
 
-void Agent::candidateReplied(int link, const board::LeaseReply& reply, Nanos now) {
+void Agent::candidateReplied(int link, const gossip::LeaseReply& reply, Nanos now) {
     if (reply.left <= 0) return giveUp(link, now);
     const std::string address = candidates_.at(link).address;
     if (search_.improves(address, preferred(), now)) return upward(link, address, now);
@@ -158,12 +158,12 @@
     closed_.push_back(link);
 }
 
-void Agent::leaseReplied(const board::LeaseReply& reply, Nanos now) {
+void Agent::leaseReplied(const gossip::LeaseReply& reply, Nanos now) {
     const auto asked = questions_.answered(reply.number);
     if (!asked) return;
     bool complete = gossip_.complete(up_);
     if (complete && reply.left > 0) {
-        const std::uint64_t held = board::configurationVersion(board());
+        const std::uint64_t held = gossip::configurationVersion(board());
         log(newsBeforeLease_.check(held >= reply.configuration, "configuration " + std::to_string(held) +
                                                                     " under a lease of " + search_.parent() +
                                                                     ", which holds " +
@@ -186,7 +186,7 @@
     log(contact_.seen(lease_.until(), now));
     if (up_ != 0 && now - askedAt_ >= askEvery) {
         askedAt_ = now;
-        said_.push_back({up_, board::LeaseRequest{questions_.ask(now)}.toJson()});
+        said_.push_back({up_, gossip::LeaseRequest{questions_.ask(now)}.toJson()});
     }
     std::vector<int> silent;
     for (const auto& [link, candidate] : candidates_)
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "agent/parent_search.hpp"
-#include "board/contact_watch.hpp"
-#include "board/gossip.hpp"
-#include "board/lease.hpp"
+#include "gossip/control_contact_monitor.hpp"
+#include "gossip/lease.hpp"
+#include "gossip/record_replicator.hpp"
 #include "nanos.hpp"
 #include "settings/settings.hpp"
 
@@ -55,7 +55,7 @@
     std::vector<std::string> takeLines() { return std::exchange(lines_, {}); }
     // Whether anyone hangs on this one.
     bool feeds() const { return !below_.empty(); }
-    const board::Board& board() const { return gossip_.board(); }
+    const gossip::Board& board() const { return gossip_.board(); }
     Nanos leaseUntil() const { return lease_.until(); }
     // How often one of its invariants was found broken.
     std::uint64_t violations() const;
@@ -67,8 +67,8 @@
         Nanos since = 0;
     };
     std::vector<std::string> preferred() const;
-    void leaseReplied(const board::LeaseReply& reply, Nanos now);
-    void candidateReplied(int link, const board::LeaseReply& reply, Nanos now);
+    void leaseReplied(const gossip::LeaseReply& reply, Nanos now);
+    void candidateReplied(int link, const gossip::LeaseReply& reply, Nanos now);
     void giveUp(int link, Nanos now);
     void greet(int link);
     void log(std::optional<std::string> line);
@@ -77,15 +77,15 @@
     std::vector<Said> said_;
     std::vector<int> closed_;
     std::vector<std::string> lines_;
-    board::Gossip gossip_;
+    gossip::Gossip gossip_;
     int up_ = 0;
     std::set<int> below_;
     ParentSearch search_;
     std::map<int, Candidate> candidates_;
-    board::LeaseQuestions questions_;
-    board::HeldLease lease_;
-    board::ContactWatch contact_;
-    board::Invariant newsBeforeLease_;
+    gossip::LeaseQuestions questions_;
+    gossip::HeldLease lease_;
+    gossip::ContactWatch contact_;
+    gossip::Invariant newsBeforeLease_;
     Nanos askedAt_ = 0, now_ = 0;
     bool reportedWithoutLease_ = false;  // the parent was found to give no lease
 };
--- a/src/agent/parent_order.cpp
+++ b/src/agent/parent_order.cpp
@@ -47,14 +47,14 @@
 }
 }  // namespace
 
-std::vector<std::string> parentsInOrder(const board::Board& board, const settings::Settings& settings) {
+std::vector<std::string> parentsInOrder(const gossip::Board& board, const settings::Settings& settings) {
     std::vector<Known> members, farMembers, agents;
-    board.under("member/", [&](const std::string& name, const board::Record& record) {
+    board.under("member/", [&](const std::string& name, const gossip::Record& record) {
         if (!record.body.is_object()) return;
         const bool near = record.body.value("district", "") == settings.district;
         (near ? members : farMembers).push_back({record.body.value("ip", ""), name});
     });
-    board.under("front/", [&](const std::string& name, const board::Record& record) {
+    board.under("front/", [&](const std::string& name, const gossip::Record& record) {
         if (record.body.is_object() && record.body.value("district", "") == settings.district)
             agents.push_back({record.body.value("ip", ""), name});
     });
--- a/src/agent/parent_order.hpp
+++ b/src/agent/parent_order.hpp
@@ -5,13 +5,13 @@
 #include <string>
 #include <vector>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 #include "settings/settings.hpp"
 
 namespace granitereel::agent {
 
 // Addresses, best first. An agent that hangs on others has those, nearest first, before the members of its
 // district, those elsewhere and the seeds.
-std::vector<std::string> parentsInOrder(const board::Board& board, const settings::Settings& settings);
+std::vector<std::string> parentsInOrder(const gossip::Board& board, const settings::Settings& settings);
 
 }  // namespace granitereel::agent
--- a/src/agent/parent_search.hpp
+++ b/src/agent/parent_search.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "board/invariant.hpp"
+#include "gossip/invariant.hpp"
 #include "nanos.hpp"
 
 namespace granitereel::agent {
@@ -46,7 +46,7 @@
     // Time passes during a search. Returns a line for the log where the invariant below is broken.
     std::optional<std::string> tick(const Addresses& preferred, Nanos now);
     // An agent without a lease has tried every other parent within a time that their number gives.
-    const board::Invariant& allTried() const { return allTried_; }
+    const gossip::Invariant& allTried() const { return allTried_; }
 
 private:
     struct Backoff {
@@ -63,7 +63,7 @@
     // How long a search has lasted, as ticks saw it pass, over one list of addresses.
     Nanos searchedFor_ = 0, tickedAt_ = 0;
     Addresses searched_;
-    board::Invariant allTried_{"an agent without a lease tries every parent in time"};
+    gossip::Invariant allTried_{"an agent without a lease tries every parent in time"};
 };
 
 }  // namespace granitereel::agent
--- a/src/agent/program.cpp
+++ b/src/agent/program.cpp
@@ -7,8 +7,8 @@
 
 #include "agent/agent.hpp"
 #include "transport/link.hpp"
-#include "transport/steady.hpp"
-#include "transport/traffic.hpp"
+#include "transport/steady_clock.hpp"
+#include "transport/traffic_counters.hpp"
 
 namespace granitereel::agent {
 
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -35,7 +35,7 @@
       self_(settings.controlAddress),
       incarnation_(std::move(incarnation)),
       gossip_([this](int link, Json message) { send(link, std::move(message)); },
-              [this](const std::string& name, const board::Record& record) { news(name, record); }),
+              [this](const std::string& name, const gossip::Record& record) { news(name, record); }),
       proposer_(proposerOf(settings, incarnation_, disk),
                 [this](const std::string& name) -> const Slot& { return acceptor_.at(name); }),
       now_(now),
@@ -99,7 +99,7 @@
     peers_[link].dialled = dialled;
     if (dialled.empty()) return;  // who comes speaks first
     send(link, Hello{Hello::fromMember, self_, settings_.station, "", incarnation_, {}}.toJson());
-    gossip_.join(link, board::Side::dialler, dialled);
+    gossip_.join(link, gossip::Side::dialler, dialled);
     proposer_.reached(dialled);
     flushProposer(now_);
 }
@@ -116,7 +116,7 @@
     if (!linkTo(dialled)) proposer_.lost(dialled);
 }
 
-void ControlMember::news(const std::string& name, const board::Record& record) {
+void ControlMember::news(const std::string& name, const gossip::Record& record) {
     if (name == "config") configuration_ = configuration::read(record.body);
     if (name == "core")
         adopt({record.body.at("epoch").get<std::uint64_t>(),
@@ -128,14 +128,14 @@
 
 namespace {
 // The version under which a register's value is a record for all.
-board::Version versionOf(const std::string& name, const Json& value) {
+gossip::Version versionOf(const std::string& name, const Json& value) {
     const char* const field = name == "config" ? "edition" : name == "core" ? "epoch" : "seq";
     return {value.at(field).get<std::uint64_t>(), 0};
 }
 }  // namespace
 
 bool ControlMember::said(const std::string& name, const Json& value) const {
-    const board::Record* record = board().find(name);
+    const gossip::Record* record = board().find(name);
     return record && record->version >= versionOf(name, value);
 }
 
@@ -186,7 +186,7 @@
         membership_.heard(member, now);
     if (kind == Hello::kind) {
         greeted(link, peer, Hello::fromJson(message), now);
-    } else if (board::isGossip(kind)) {
+    } else if (gossip::isGossip(kind)) {
         gossip_.heard(link, message);
         if (!peer.dialled.empty() && gossip_.complete(link)) stores_.boardHeardFrom(peer.dialled);
     } else if (kind == StoreRecordReplicate::kind) {
@@ -204,11 +204,11 @@
         roundAsked(link, peer, message, now);
     } else if (kind == LeaseAnswer::kind) {
         roundAnswered(link, peer, message, now);
-    } else if (kind == board::LeaseRequest::kind) {
-        const std::uint64_t number = board::LeaseRequest::fromJson(message).number;
+    } else if (kind == gossip::LeaseRequest::kind) {
+        const std::uint64_t number = gossip::LeaseRequest::fromJson(message).number;
         const Nanos left = std::max<Nanos>(0, lease_.until() - now);
-        send(link, board::LeaseReply{number, left, unsettledLeads_.all(board(), now),
-                                     board::configurationVersion(board())}
+        send(link, gossip::LeaseReply{number, left, unsettledLeads_.all(board(), now),
+                                      gossip::configurationVersion(board())}
                        .toJson());
     } else if (kind == "suspect") {
         suspected(message, now);
@@ -246,7 +246,7 @@
     }
     const std::string& district = settings_.district;
     send(link, Hello{Hello::fromMember, self_, settings_.station, district, incarnation_, core_}.toJson());
-    gossip_.join(link, board::Side::acceptor, peer.member);
+    gossip_.join(link, gossip::Side::acceptor, peer.member);
 }
 
 // A member asks for its lease.
@@ -255,7 +255,7 @@
     if (!peer.member.empty()) calls_.contacts().heard(peer.member, micros(message, "lease_left_us"), now);
     if (votes() && question.epoch == core_.epoch) {
         const LeaseAnswer told{question.round, question.epoch, unsettledLeads_.own(board()),
-                               board::configurationVersion(board())};
+                               gossip::configurationVersion(board())};
         send(link, withLeaseLeft(told.toJson()));
     }
     // Who was cut off during a change of voters is told of it.
@@ -268,7 +268,7 @@
     unsettledLeads_.told(told.unsettled, now);
     // Before the exchange on this link is complete the voter may know of a change that this member doesn't.
     if (!gossip_.complete(link)) return;
-    if (const std::uint64_t held = board::configurationVersion(board()); held < told.configuration) {
+    if (const std::uint64_t held = gossip::configurationVersion(board()); held < told.configuration) {
         reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and " + peer.dialled +
                                            " holds " + std::to_string(told.configuration));
         return gossip_.exchangeAnew(link);
@@ -276,7 +276,7 @@
     lease_.answered(peer.dialled, told, core_);
 }
 
-void ControlMember::reportBroken(board::Invariant& invariant, const std::string& detail) {
+void ControlMember::reportBroken(gossip::Invariant& invariant, const std::string& detail) {
     if (auto line = invariant.check(false, detail)) outputs_.push_back(ToLog{std::move(*line)});
 }
 
@@ -376,7 +376,7 @@
 }
 
 bool ControlMember::disqualified(const std::string& voter) const {
-    const board::Record* record = board().find("member/" + voter);
+    const gossip::Record* record = board().find("member/" + voter);
     return record && record->body.is_object() && record->body.value("disk_unwell", false);
 }
 
@@ -405,7 +405,7 @@
     return message;
 }
 
-void ControlMember::putRecord(const std::string& name, board::Record record) {
+void ControlMember::putRecord(const std::string& name, gossip::Record record) {
     gossip_.put(name, std::move(record));
 }
 
@@ -559,10 +559,10 @@
 Json ControlMember::state(Nanos now) const {
     Json leads = Json::object();
     for (const auto& [service, succession] : successions_) leads[service] = {{"phase", succession->phase()}};
-    board().under("lead/", [&](const std::string& name, const board::Record& r) {
+    board().under("lead/", [&](const std::string& name, const gossip::Record& r) {
         leads[name.substr(5)]["lead"] = r.body;
     });
-    const board::Record* config = board().find("config");
+    const gossip::Record* config = board().find("config");
     return {{"member", self_},
             {"station", settings_.station},
             {"epoch", core_.epoch},
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -10,10 +10,6 @@
 #include <string>
 #include <vector>
 
-#include "board/contact_watch.hpp"
-#include "board/gossip.hpp"
-#include "board/invariant.hpp"
-#include "board/lease.hpp"
 #include "configuration/configuration.hpp"
 #include "control/call_router.hpp"
 #include "control/departure.hpp"
@@ -28,6 +24,10 @@
 #include "control/store_registry.hpp"
 #include "control/succession.hpp"
 #include "control/unsettled_leads.hpp"
+#include "gossip/control_contact_monitor.hpp"
+#include "gossip/invariant.hpp"
+#include "gossip/lease.hpp"
+#include "gossip/record_replicator.hpp"
 #include "nanos.hpp"
 #include "settings/settings.hpp"
 
@@ -87,10 +87,10 @@
                 std::function<void(std::optional<Lead>)> done) override;
     void confirm(const std::string& service, const Lead& expected,
                  std::function<void(Confirmation, Nanos now)> done) override;
-    const board::Board& board() const override { return gossip_.board(); }
+    const gossip::Board& board() const override { return gossip_.board(); }
     int syncReplicas(const std::string& service) const override;
 
-    void putRecord(const std::string& name, board::Record record) override;
+    void putRecord(const std::string& name, gossip::Record record) override;
     bool unconfirmed(const std::string& name) const override { return gossip_.unconfirmed(name); }
     void sendTo(const std::string& voter, Json message) override;
     const Core& core() const override { return core_; }
@@ -113,7 +113,7 @@
     void toCaller(ToCaller answer) override { outputs_.push_back(std::move(answer)); }
 
     void take(int link, const Json& message, Nanos now);
-    void news(const std::string& name, const board::Record& record);
+    void news(const std::string& name, const gossip::Record& record);
     // The message with what is left of this member's lease, in microseconds: a hint of where to send callers.
     Json withLeaseLeft(Json message) const;
     void learn(const std::string& name, const Json& value);
@@ -128,7 +128,7 @@
     void greeted(int link, Peer& peer, const Hello& hello, Nanos now);
     void roundAsked(int link, const Peer& peer, const Json& message, Nanos now);
     void roundAnswered(int link, const Peer& peer, const Json& message, Nanos now);
-    void reportBroken(board::Invariant& invariant, const std::string& detail);
+    void reportBroken(gossip::Invariant& invariant, const std::string& detail);
     void stateAsked(int link, const StateRequest& request);
     void stateTold(const std::string& voter, const StateReply& reply);
     void recover(Nanos now);
@@ -154,7 +154,7 @@
     const settings::Settings settings_;
     const std::string self_, incarnation_;
     Outputs outputs_;
-    board::Gossip gossip_;
+    gossip::Gossip gossip_;
     Acceptor acceptor_;
     Proposer proposer_;
     Core core_;
@@ -170,8 +170,8 @@
     std::map<std::string, Nanos> memberHeard_;
     UnsettledLeads unsettledLeads_;
     LeaseRounds lease_;
-    board::ContactWatch contact_;
-    board::Invariant newsBeforeLease_{board::newsBeforeLease};
+    gossip::ContactWatch contact_;
+    gossip::Invariant newsBeforeLease_{gossip::newsBeforeLease};
     std::map<std::string, std::unique_ptr<Succession>> successions_;
     std::map<std::uint64_t, Succession*> asks_;
     std::uint64_t nextAsk_ = 1;
--- a/src/control/member_duties.cpp
+++ b/src/control/member_duties.cpp
@@ -109,7 +109,7 @@
             here.push_back(voter);
     }
     const bool majority = here.size() >= core_.majority() && now < lease_.until();
-    board().under("store/", [&](const std::string&, const board::Record& record) {
+    board().under("store/", [&](const std::string&, const gossip::Record& record) {
         if (!record.body.is_object()) return;
         auto& slot = successions_[record.body.at("service").get<std::string>()];
         if (!slot)
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -14,9 +14,9 @@
 #include "control/member.hpp"
 #include "transport/http.hpp"
 #include "transport/link.hpp"
-#include "transport/steady.hpp"
+#include "transport/steady_clock.hpp"
 #include "transport/store_call.hpp"
-#include "transport/traffic.hpp"
+#include "transport/traffic_counters.hpp"
 
 namespace granitereel::control {
 
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 
 namespace granitereel::control {
 
@@ -24,15 +24,15 @@
             {"standing", said.standing},   {"role", said.role},       {"life", since}};
 }
 
-std::int64_t coldLeftOf(const board::Record& record) {
+std::int64_t coldLeftOf(const gossip::Record& record) {
     return record.body.is_object() ? record.body.value("cold_left_ms", std::int64_t(0)) : 0;
 }
 
-std::uint64_t lifeOf(const board::Record& record) {
+std::uint64_t lifeOf(const gossip::Record& record) {
     return record.body.is_object() ? record.body.value("life", std::uint64_t(0)) : 0;
 }
 
-bool leaving(const board::Record& record) {
+bool leaving(const gossip::Record& record) {
     return record.body.is_null() || record.body.value("standing", "") == windingDown;
 }
 }  // namespace
@@ -54,8 +54,8 @@
 }
 
 namespace {
-Json recordToJson(const std::string& name, const board::Record& record) {
-    return board::RecordUpdate{name, record.version, std::nullopt, record.body}.toJson();
+Json recordToJson(const std::string& name, const gossip::Record& record) {
+    return gossip::RecordUpdate{name, record.version, std::nullopt, record.body}.toJson();
 }
 }  // namespace
 
@@ -64,9 +64,9 @@
 }
 
 StoreRecordReplicate StoreRecordReplicate::fromJson(const Json& message) {
-    board::RecordUpdate told = board::RecordUpdate::fromJson(message.at("record"));
+    gossip::RecordUpdate told = gossip::RecordUpdate::fromJson(message.at("record"));
     return {message.at("life"), message.at("number"), std::move(told.name),
-            board::Record{told.version, std::move(told.body)}};
+            gossip::Record{told.version, std::move(told.body)}};
 }
 
 Json StoreRecordHeld::toJson() const {
@@ -78,8 +78,8 @@
 StoreRecordHeld StoreRecordHeld::fromJson(const Json& message) {
     StoreRecordHeld answer{message.at("life"), message.at("number"), std::nullopt};
     if (message.contains("other")) {
-        board::RecordUpdate told = board::RecordUpdate::fromJson(message.at("other"));
-        answer.other = board::Record{told.version, std::move(told.body)};
+        gossip::RecordUpdate told = gossip::RecordUpdate::fromJson(message.at("other"));
+        answer.other = gossip::Record{told.version, std::move(told.body)};
     }
     return answer;
 }
@@ -110,7 +110,7 @@
     return said.coldLeft_ms > 0 && life.warmAt && warmAt > *life.warmAt + lateAfter_;
 }
 
-StoreRegistry::Verdict StoreRegistry::judge(const StoreCall& said, const board::Record* known,
+StoreRegistry::Verdict StoreRegistry::judge(const StoreCall& said, const gossip::Record* known,
                                             Nanos now) const {
     const auto found = lives_.find(recordName(said.id));
     if (!known || found == lives_.end()) return Verdict::newLife;
@@ -146,7 +146,7 @@
 
 void StoreRegistry::take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
     const std::string name = recordName(said.id);
-    const board::Record* known = means_.board().find(name);
+    const gossip::Record* known = means_.board().find(name);
     const Verdict verdict = judge(said, known, now);
     const std::uint64_t major = known ? known->version.major + 1 : 1;
     if (verdict == Verdict::newLife) begin(said, major, now);
@@ -172,12 +172,12 @@
 }
 
 void StoreRegistry::takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now) {
-    const board::Record* known = means_.board().find(name);
+    const gossip::Record* known = means_.board().find(name);
     if (known && !known->body.is_null())
         means_.putRecord(name, {{known->version.major + 1, known->version.minor + aboveCalls}, nullptr});
     known = means_.board().find(name);
     // Of a store that is not known here the others are asked.
-    confirm({call, std::nullopt, name, known ? *known : board::Record(), {}, until, now}, now);
+    confirm({call, std::nullopt, name, known ? *known : gossip::Record(), {}, until, now}, now);
 }
 
 void StoreRegistry::confirm(Pending pending, Nanos now) {
@@ -207,7 +207,7 @@
                       [&](const std::string& holder) { return core.voters.count(holder) > 0; });
     if (!core.epoch || static_cast<std::size_t>(count) < core.majority()) return false;
     // That no store is known is true for the moment of asking only.
-    if (pending.record.version != board::Version()) confirmed_[pending.name] = pending.record.version;
+    if (pending.record.version != gossip::Version()) confirmed_[pending.name] = pending.record.version;
     means_.answerStore(pending.call, Kind::taken);
     pending_.erase(number);
     return true;
@@ -226,10 +226,10 @@
 }
 
 std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanos now) {
-    if (asked.record.version != board::Version()) means_.putRecord(asked.name, asked.record);
+    if (asked.record.version != gossip::Version()) means_.putRecord(asked.name, asked.record);
     if (!remembers(now)) return std::nullopt;
-    const board::Record* stands = means_.board().find(asked.name);
-    const board::Record holds = stands ? *stands : board::Record();
+    const gossip::Record* stands = means_.board().find(asked.name);
+    const gossip::Record holds = stands ? *stands : gossip::Record();
     if (holds.version == asked.record.version && holds.body == asked.record.body)
         return StoreRecordHeld{asked.life, asked.number, std::nullopt};
     return StoreRecordHeld{asked.life, asked.number, holds};
@@ -248,7 +248,7 @@
     pending_.erase(found);
     if (answer.other->version == again.record.version) {
         // Two bodies under one version: the one that is asked for here goes above both.
-        const board::Version above{again.record.version.major + 1, again.record.version.minor};
+        const gossip::Version above{again.record.version.major + 1, again.record.version.minor};
         means_.putRecord(again.name, {above, again.record.body});
     } else {
         means_.putRecord(again.name, *answer.other);
@@ -259,7 +259,7 @@
         takeLeft(again.call, again.name, again.until, now);
 }
 
-void StoreRegistry::news(const std::string& name, const board::Record& record, Nanos now) {
+void StoreRegistry::news(const std::string& name, const gossip::Record& record, Nanos now) {
     if (!name.starts_with("store/")) return;
     Life& life = lives_[name];
     life.heardAt = now;
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <utility>
 
-#include "board/board.hpp"
 #include "control/outputs.hpp"
 #include "control/register.hpp"
+#include "gossip/record_table.hpp"
 #include "nanos.hpp"
 
 namespace granitereel::control {
@@ -35,7 +35,7 @@
     std::string life;          // of the asking process
     std::uint64_t number = 0;  // of the question within that life
     std::string name;
-    board::Record record;
+    gossip::Record record;
     Json toJson() const;
     // Throws nlohmann::json::exception where it is not of this form.
     static StoreRecordReplicate fromJson(const Json& message);
@@ -46,7 +46,7 @@
     static constexpr const char* kind = "store_record_held";
     std::string life;
     std::uint64_t number = 0;
-    std::optional<board::Record> other;  // none: held
+    std::optional<gossip::Record> other;  // none: held
     Json toJson() const;
     // Throws nlohmann::json::exception where it is not of this form.
     static StoreRecordHeld fromJson(const Json& message);
@@ -57,9 +57,9 @@
     // What the registry needs of the member it belongs to.
     struct Means {
         virtual ~Means() = default;
-        virtual const board::Board& board() const = 0;
+        virtual const gossip::Board& board() const = 0;
         // A record for all; those of a version not above the one that stands change nothing.
-        virtual void putRecord(const std::string& name, board::Record record) = 0;
+        virtual void putRecord(const std::string& name, gossip::Record record) = 0;
         // Whether this record was missed for so long that it may be gone elsewhere (board::Gossip).
         virtual bool unconfirmed(const std::string& name) const = 0;
         virtual void sendTo(const std::string& voter, Json message) = 0;
@@ -78,7 +78,7 @@
     void held(const std::string& voter, const StoreRecordHeld& answer, Nanos now);
     // The whole board of this voter has been heard.
     void boardHeardFrom(const std::string& voter) { boardsHeard_.insert(voter); }
-    void news(const std::string& name, const board::Record& record, Nanos now);
+    void news(const std::string& name, const gossip::Record& record, Nanos now);
     void tick(Nanos now);
 
     // The longest that a call is counted for.
@@ -109,11 +109,11 @@
         std::uint64_t call = 0;
         std::optional<StoreCall> said;  // none: the store leaves
         std::string name;
-        board::Record record;
+        gossip::Record record;
         std::set<std::string> holders;
         Nanos until = 0, askedAt = 0;
     };
-    Verdict judge(const StoreCall& said, const board::Record* known, Nanos now) const;
+    Verdict judge(const StoreCall& said, const gossip::Record* known, Nanos now) const;
     bool startedAnew(const StoreCall& said, const Life& life, Nanos now) const;
     void take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now);
     void takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now);
@@ -130,8 +130,8 @@
     const Nanos startedAt_;
     Nanos tickedAt_, forgotAt_;
     std::set<std::string> boardsHeard_;
-    std::map<std::string, Life> lives_;                // by the record's name
-    std::map<std::string, board::Version> confirmed_;  // what a majority was seen to hold
+    std::map<std::string, Life> lives_;                 // by the record's name
+    std::map<std::string, gossip::Version> confirmed_;  // what a majority was seen to hold
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t nextNumber_ = 1;
 };
--- a/src/control/succession.cpp
+++ b/src/control/succession.cpp
@@ -91,12 +91,12 @@
 }
 
 std::optional<Lead> Succession::known() const {
-    const board::Record* record = means_.board().find("lead/" + service_);
+    const gossip::Record* record = means_.board().find("lead/" + service_);
     return record ? readLead(record->body) : std::nullopt;
 }
 
 const Json* Succession::record(const std::string& store) const {
-    const board::Record* found = means_.board().find("store/" + store);
+    const gossip::Record* found = means_.board().find("store/" + store);
     return found && found->body.is_object() ? &found->body : nullptr;
 }
 
@@ -107,7 +107,7 @@
 
 std::vector<std::string> Succession::listed() const {
     std::vector<std::string> all;
-    means_.board().under("store/", [&](const std::string& name, const board::Record& r) {
+    means_.board().under("store/", [&](const std::string& name, const gossip::Record& r) {
         if (r.body.is_object() && r.body.value("service", "") == service_) all.push_back(name.substr(6));
     });
     return all;
--- a/src/control/succession.hpp
+++ b/src/control/succession.hpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "board/board.hpp"
 #include "control/lead.hpp"
 #include "control/outputs.hpp"
 #include "control/replica_ages.hpp"
+#include "gossip/record_table.hpp"
 #include "mark.hpp"
 #include "nanos.hpp"
 #include "store_row.hpp"
@@ -61,7 +61,7 @@
         // A majority read begun now; `done` is also told the time.
         virtual void confirm(const std::string& service, const Lead& expected,
                              std::function<void(Confirmation, Nanos now)> done) = 0;
-        virtual const board::Board& board() const = 0;
+        virtual const gossip::Board& board() const = 0;
         virtual int syncReplicas(const std::string& service) const = 0;
     };
 
--- a/src/control/unsettled_leads.cpp
+++ b/src/control/unsettled_leads.cpp
@@ -7,8 +7,8 @@
 namespace {
 const std::string leadPrefix = "lead/";
 
-std::uint64_t sequenceOn(const board::Board& board, const std::string& service) {
-    const board::Record* record = board.find(leadPrefix + service);
+std::uint64_t sequenceOn(const gossip::Board& board, const std::string& service) {
+    const gossip::Record* record = board.find(leadPrefix + service);
     return record ? record->version.major : 0;
 }
 }  // namespace
@@ -32,14 +32,14 @@
     }
 }
 
-LeadMarks UnsettledLeads::own(const board::Board& board) const {
+LeadMarks UnsettledLeads::own(const gossip::Board& board) const {
     LeadMarks marks;
     for (const auto& [service, held] : held_)
         if (!held.steady || held.sequence > sequenceOn(board, service)) marks[service] = held.sequence;
     return marks;
 }
 
-LeadMarks UnsettledLeads::all(const board::Board& board, Nanos now) const {
+LeadMarks UnsettledLeads::all(const gossip::Board& board, Nanos now) const {
     LeadMarks marks = own(board);
     for (const auto& [service, told] : told_) {
         if (told.until <= now || told.sequence <= sequenceOn(board, service)) continue;
--- a/src/control/unsettled_leads.hpp
+++ b/src/control/unsettled_leads.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "board/board.hpp"
 #include "control/lease.hpp"
 #include "control/succession.hpp"
+#include "gossip/record_table.hpp"
 
 namespace granitereel::control {
 
@@ -21,9 +21,9 @@
     void told(const LeadMarks& marks, Nanos now);
 
     // As this member answers a round: accepted here, and unsteady or newer than the board.
-    LeadMarks own(const board::Board& board) const;
+    LeadMarks own(const gossip::Board& board) const;
     // As it tells those under its lease: its own and those told.
-    LeadMarks all(const board::Board& board, Nanos now) const;
+    LeadMarks all(const gossip::Board& board, Nanos now) const;
 
 private:
     struct Held {
--- a/src/board/contact_watch.cpp
+++ b/src/gossip/control_contact_monitor.cpp
@@ -1,8 +1,8 @@
-#include "board/contact_watch.hpp"
+#include "gossip/control_contact_monitor.hpp"
 
 #include <algorithm>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 constexpr Nanos nanosInMilli = 1'000'000;
@@ -33,4 +33,4 @@
     return "contact with control again after " + std::to_string(away / nanosInMilli) + " ms";
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/contact_watch.hpp
+++ b/src/gossip/control_contact_monitor.hpp
@@ -9,7 +9,7 @@
 
 #include "nanos.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 class ContactWatch {
 public:
@@ -36,4 +36,4 @@
     Figures figures_;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/digest.cpp
+++ b/src/gossip/digest.cpp
@@ -1,11 +1,11 @@
-#include "board/digest.hpp"
+#include "gossip/digest.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <bit>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 // 16 bytes of digest for so many records: a board of a thousand costs half a kilobyte where nothing differs,
@@ -36,4 +36,4 @@
     return hashes;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/digest.hpp
+++ b/src/gossip/digest.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 // How many buckets a board of so many records is hashed into; a power of two.
 std::uint64_t bucketCountFor(std::size_t records);
@@ -21,4 +21,4 @@
 std::vector<std::uint64_t> bucketHashes(const Board& board, std::uint64_t count,
                                         const std::set<std::string>& skipped);
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/invariant.hpp
+++ b/src/gossip/invariant.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 class Invariant {
 public:
@@ -21,4 +21,4 @@
     std::uint64_t violations_ = 0;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/difference.cpp
+++ b/src/gossip/json_diff.cpp
@@ -1,4 +1,4 @@
-#include "board/difference.hpp"
+#include "gossip/json_diff.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 using Pointer = Json::json_pointer;
@@ -104,4 +104,4 @@
     return patch;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/difference.hpp
+++ b/src/gossip/json_diff.hpp
@@ -5,11 +5,11 @@
 
 #include <nlohmann/json.hpp>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 using Json = nlohmann::json;
 
 // was.patch(difference(was, now)) == now.
 Json difference(const Json& was, const Json& now);
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/lease.cpp
+++ b/src/gossip/lease.cpp
@@ -1,9 +1,9 @@
-#include "board/lease.hpp"
+#include "gossip/lease.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 // Questions that may be open at once: more than a lease's time holds of them.
@@ -71,4 +71,4 @@
     return at == unsettled_.end() || at->second <= sequence;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/lease.hpp
+++ b/src/gossip/lease.hpp
@@ -8,10 +8,10 @@
 #include <optional>
 #include <string>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 #include "nanos.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 // For so long behind the end of its last lease a process may rest on what the records named then, where
 // control makes up for what they lack since (docs/control-safety/promotion.md).
@@ -81,4 +81,4 @@
     std::map<std::string, std::uint64_t> unsettled_;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -1,8 +1,8 @@
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 
 #include <charconv>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 constexpr std::size_t hexDigits = 16;
@@ -152,4 +152,4 @@
            kind == Inventory::kind || kind == Want::kind || kind == Sent::kind || kind == Complete::kind;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/messages.hpp
+++ b/src/gossip/messages.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 // A record as it is sent: whole, or as a patch (RFC 6902) of the body at version `from`.
 struct RecordUpdate {
@@ -101,4 +101,4 @@
 // Whether a message of this kind belongs to the exchange of boards.
 bool isGossip(const std::string& kind);
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/history.cpp
+++ b/src/gossip/patch_history.cpp
@@ -1,8 +1,8 @@
-#include "board/history.hpp"
+#include "gossip/patch_history.hpp"
 
 #include <algorithm>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 // Patches kept for one record, in bytes as JSON: about the size of a configuration of some hundred routes,
@@ -34,4 +34,4 @@
     return patch;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/history.hpp
+++ b/src/gossip/patch_history.hpp
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 class History {
 public:
@@ -32,4 +32,4 @@
     std::map<std::string, Steps> steps_;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/lifetimes.cpp
+++ b/src/gossip/record_expiry.cpp
@@ -1,8 +1,8 @@
-#include "board/lifetimes.hpp"
+#include "gossip/record_expiry.hpp"
 
 #include <algorithm>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 bool Lifetimes::mayEnd(const std::string& name) {
     return name.starts_with("store/") || name.starts_with("front/") || name.starts_with("member/");
@@ -46,4 +46,4 @@
     return contactAt_ ? std::max<Nanos>(0, now - *contactAt_) : 0;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/lifetimes.hpp
+++ b/src/gossip/record_expiry.hpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 #include "nanos.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 constexpr Nanos tombstoneLife = millis(600'000);
 // A record may pass through several processes without contact, each of which counts from its own last
@@ -53,4 +53,4 @@
     bool isolated_ = false, inContact_ = false;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/renewals.cpp
+++ b/src/gossip/record_renewals.cpp
@@ -1,6 +1,6 @@
-#include "board/renewals.hpp"
+#include "gossip/record_renewals.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 bool Renewals::renewed(const std::string& name) {
     return name.starts_with("front/") || name.starts_with("member/");
@@ -24,4 +24,4 @@
     return true;
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/renewals.hpp
+++ b/src/gossip/record_renewals.hpp
@@ -8,7 +8,7 @@
 
 #include "nanos.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 // How often an owner in contact with control renews its record: some 100 bytes for every process.
 constexpr Nanos renewEvery = millis(15 * 60'000);
@@ -36,4 +36,4 @@
     Nanos ownRenewedAt_ = 0;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/gossip.cpp
+++ b/src/gossip/record_replicator.cpp
@@ -1,12 +1,12 @@
-#include "board/gossip.hpp"
+#include "gossip/record_replicator.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-#include "board/digest.hpp"
+#include "gossip/digest.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 namespace {
 // An exchange in which nothing has come for so long is begun again: above the time of a piece on a slow link.
@@ -455,4 +455,4 @@
     want(number, {{update.name, held}});
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/gossip.hpp
+++ b/src/gossip/record_replicator.hpp
@@ -11,14 +11,14 @@
 #include <map>
 #include <set>
 
-#include "board/board.hpp"
-#include "board/history.hpp"
-#include "board/lifetimes.hpp"
-#include "board/messages.hpp"
-#include "board/renewals.hpp"
+#include "gossip/messages.hpp"
+#include "gossip/patch_history.hpp"
+#include "gossip/record_expiry.hpp"
+#include "gossip/record_renewals.hpp"
+#include "gossip/record_table.hpp"
 #include "nanos.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 // Which end of a link this process is. The dialler begins the exchange.
 enum class Side { dialler, acceptor };
@@ -120,4 +120,4 @@
     bool inContact_ = false;
 };
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/board.cpp
+++ b/src/gossip/record_table.cpp
@@ -1,8 +1,8 @@
-#include "board/board.hpp"
+#include "gossip/record_table.hpp"
 
-#include "board/difference.hpp"
+#include "gossip/json_diff.hpp"
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 bool Board::put(const std::string& name, Record record) {
     auto [at, fresh] = records_.try_emplace(name);
@@ -24,4 +24,4 @@
     return patch.dump().size() < whole / 2 ? patch : Json();
 }
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/board/board.hpp
+++ b/src/gossip/record_table.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace granitereel::board {
+namespace granitereel::gossip {
 
 using Json = nlohmann::json;
 
@@ -48,4 +48,4 @@
 // whole.
 Json shorter(const Json& was, const Json& now);
 
-}  // namespace granitereel::board
+}  // namespace granitereel::gossip
--- a/src/proxy/news.cpp
+++ b/src/proxy/news.cpp
@@ -17,7 +17,7 @@
     agent_ = true;
     askedAt_ = 0;
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(agentLink, board::Side::dialler);
+    gossip_.join(agentLink, gossip::Side::dialler);
     settle();
 }
 
@@ -31,10 +31,10 @@
     begin(now);
     const std::string kind = message.at("k");
     gossip_.advance(now, lease_.valid(now));
-    if (board::isGossip(kind)) {
+    if (gossip::isGossip(kind)) {
         gossip_.heard(agentLink, message);
-    } else if (kind == board::LeaseReply::kind) {
-        const board::LeaseReply reply = board::LeaseReply::fromJson(message);
+    } else if (kind == gossip::LeaseReply::kind) {
+        const gossip::LeaseReply reply = gossip::LeaseReply::fromJson(message);
         const auto asked = leaseQuestions_.answered(reply.number);
         if (!asked) return settle();
         lease_.granted(*asked, reply, toldBeforeLease(reply));
@@ -46,9 +46,9 @@
 }
 
 // Whether all is here that the agent held when it gave the lease.
-bool Pooler::toldBeforeLease(const board::LeaseReply& reply) {
+bool Pooler::toldBeforeLease(const gossip::LeaseReply& reply) {
     if (!gossip_.complete(agentLink)) return false;
-    const std::uint64_t held = board::configurationVersion(gossip_.board());
+    const std::uint64_t held = gossip::configurationVersion(gossip_.board());
     if (held >= reply.configuration) return true;
     reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and the agent holds " +
                                        std::to_string(reply.configuration));
@@ -56,11 +56,11 @@
     return false;
 }
 
-void Pooler::reportBroken(board::Invariant& invariant, const std::string& detail) {
+void Pooler::reportBroken(gossip::Invariant& invariant, const std::string& detail) {
     if (const auto line = invariant.check(false, detail)) log(*line);
 }
 
-void Pooler::news(const std::string& name, const board::Record& record) {
+void Pooler::news(const std::string& name, const gossip::Record& record) {
     if (name == "config") {
         configNews(record.body);
     } else if (name.starts_with("store/")) {
@@ -69,7 +69,8 @@
         leadNews(name.substr(5), record.body);
     } else if (name.starts_with("front/")) {
         int fronts = 0;
-        gossip_.board().under("front/", [&](auto&, const board::Record& r) { fronts += r.body.is_object(); });
+        gossip_.board().under("front/",
+                              [&](auto&, const gossip::Record& r) { fronts += r.body.is_object(); });
         fronts_ = std::max(1, fronts);
         front_.present(fronts_);
     }
@@ -194,7 +195,7 @@
 
 // A front whose record may have been taken down has no share any more but for one connection.
 int Pooler::share(const Service& of) const {
-    if (now_ - std::max(lease_.until(), startedAt_) > board::presumedGoneAfter) return 1;
+    if (now_ - std::max(lease_.until(), startedAt_) > gossip::presumedGoneAfter) return 1;
     // Some are left to control, which asks stores how they are.
     return of.berthCap == 0 ? 64 : std::max(1, (of.berthCap - 2) / fronts_);
 }
--- a/src/proxy/pooler.cpp
+++ b/src/proxy/pooler.cpp
@@ -29,7 +29,7 @@
       now_(now),
       startedAt_(now),
       gossip_([this](int, Json message) { outputs_.push_back(ToAgent{std::move(message)}); },
-              [this](const std::string& name, const board::Record& record) { news(name, record); }),
+              [this](const std::string& name, const gossip::Record& record) { news(name, record); }),
       front_(charterOf(settings, 0), seed, now, *this) {
     districts_[settings.district] = 0;
 }
@@ -152,7 +152,7 @@
 void Pooler::askForLease() {
     if (!agent_ || now_ - askedAt_ < leaseAskEvery) return;
     askedAt_ = now_;
-    outputs_.push_back(ToAgent{board::LeaseRequest{leaseQuestions_.ask(now_)}.toJson()});
+    outputs_.push_back(ToAgent{gossip::LeaseRequest{leaseQuestions_.ask(now_)}.toJson()});
 }
 
 void Pooler::sweepLine(Line& line) {
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -14,12 +14,12 @@
 #include <variant>
 #include <vector>
 
-#include "board/contact_watch.hpp"
-#include "board/gossip.hpp"
-#include "board/invariant.hpp"
-#include "board/lease.hpp"
 #include "configuration/configuration.hpp"
 #include "front.hpp"
+#include "gossip/control_contact_monitor.hpp"
+#include "gossip/invariant.hpp"
+#include "gossip/lease.hpp"
+#include "gossip/record_replicator.hpp"
 #include "proxy/answer.hpp"
 #include "proxy/horizon.hpp"
 #include "proxy/lead_evidence.hpp"
@@ -224,14 +224,14 @@
     void endRest(Session& s, Line& line);
     void refuseLate();
     void endLeaving();
-    void news(const std::string& name, const board::Record& record);
+    void news(const std::string& name, const gossip::Record& record);
     void storeNews(const std::string& id, const Json& body);
     void leadNews(const std::string& service, const Json& body);
     void leadChanged(Service& of, const std::string& before);
     void leaveLead(const std::string& storeId);
     void configNews(const Json& body);
-    bool toldBeforeLease(const board::LeaseReply& reply);
-    void reportBroken(board::Invariant& invariant, const std::string& detail);
+    bool toldBeforeLease(const gossip::LeaseReply& reply);
+    void reportBroken(gossip::Invariant& invariant, const std::string& detail);
     Service& service(const std::string& name);
     void standing(Store& store);
 
@@ -307,17 +307,17 @@
     std::vector<Output> outputs_;
     Nanos now_, wakeAt_ = 0;
     const Nanos startedAt_;
-    board::Gossip gossip_;
+    gossip::Gossip gossip_;
     Front front_;
     configuration::Configuration configuration_;
     bool configured_ = false, leaving_ = false, agent_ = false;
     Nanos leftAt_ = 0, askedAt_ = 0, sweptAt_ = 0, configuredAt_ = 0;
     std::uint64_t keyNo_ = 0;
-    board::LeaseQuestions leaseQuestions_;
-    board::HeldLease lease_;
-    board::ContactWatch contact_;
-    board::Invariant newsBeforeLease_{board::newsBeforeLease};
-    board::Invariant configurationsRise_{"each configuration in force is above the one before"};
+    gossip::LeaseQuestions leaseQuestions_;
+    gossip::HeldLease lease_;
+    gossip::ContactWatch contact_;
+    gossip::Invariant newsBeforeLease_{gossip::newsBeforeLease};
+    gossip::Invariant configurationsRise_{"each configuration in force is above the one before"};
     std::map<std::string, std::unique_ptr<Service>> services_;
     std::map<int, Service*> byGroup_;
     std::unordered_map<std::string, std::unique_ptr<Store>> stores_;
--- a/src/proxy/program.cpp
+++ b/src/proxy/program.cpp
@@ -8,7 +8,7 @@
 #include "proxy/pooler.hpp"
 #include "transport/http.hpp"
 #include "transport/link.hpp"
-#include "transport/steady.hpp"
+#include "transport/steady_clock.hpp"
 
 namespace granitereel::proxy {
 
--- a/src/transport/traffic.cpp
+++ b/src/transport/traffic_counters.cpp
@@ -1,4 +1,4 @@
-#include "transport/traffic.hpp"
+#include "transport/traffic_counters.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/standins/gossip_world.hpp
+++ b/standins/gossip_world.hpp
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "board/gossip.hpp"
+#include "gossip/record_replicator.hpp"
 
 namespace granitereel::standins {
 
 struct GossipWorld {
-    using Versions = std::map<std::string, board::Version>;
+    using Versions = std::map<std::string, gossip::Version>;
     struct Packet {
-        board::Json message;
+        gossip::Json message;
         Versions held;  // by the sender, when it was sent
     };
     struct Wire {
@@ -24,32 +24,32 @@
         std::deque<Packet> packets;
     };
     struct Node {
-        std::unique_ptr<board::Gossip> gossip;
+        std::unique_ptr<gossip::Gossip> gossip;
         bool inContact = true;
     };
 
     std::map<int, Node> nodes;
     std::map<int, Wire> wires;  // by the sender's link
-    std::map<int, board::Side> sides;
+    std::map<int, gossip::Side> sides;
     std::size_t bytes = 0, messages = 0, largest = 0;
     int brokenPromises = 0;
     Nanos now = millis(1'000'000);
     int lastLink = 0;
 
     void start(int node) {
-        nodes[node].gossip = std::make_unique<board::Gossip>(
-            [this, node](int link, board::Json message) { sent(node, link, std::move(message)); },
+        nodes[node].gossip = std::make_unique<gossip::Gossip>(
+            [this, node](int link, gossip::Json message) { sent(node, link, std::move(message)); },
             [](auto&, auto&) {});
         nodes[node].gossip->advance(now, nodes[node].inContact);
     }
-    board::Gossip& at(int node) { return *nodes.at(node).gossip; }
+    gossip::Gossip& at(int node) { return *nodes.at(node).gossip; }
 
-    static Versions versionsOf(const board::Board& board) {
+    static Versions versionsOf(const gossip::Board& board) {
         Versions all;
         for (const auto& [name, record] : board.all()) all[name] = record.version;
         return all;
     }
-    void sent(int node, int link, board::Json message) {
+    void sent(int node, int link, gossip::Json message) {
         const auto wire = wires.find(link);
         if (wire == wires.end()) return;
         const std::size_t size = message.dump().size() + 1;
@@ -63,10 +63,10 @@
         const int a = ++lastLink, b = ++lastLink;
         wires[a] = {dialler, acceptor, b, {}};
         wires[b] = {acceptor, dialler, a, {}};
-        sides[a] = board::Side::dialler;
-        sides[b] = board::Side::acceptor;
-        at(acceptor).join(b, board::Side::acceptor, named ? std::to_string(dialler) : "");
-        at(dialler).join(a, board::Side::dialler, named ? std::to_string(acceptor) : "");
+        sides[a] = gossip::Side::dialler;
+        sides[b] = gossip::Side::acceptor;
+        at(acceptor).join(b, gossip::Side::acceptor, named ? std::to_string(dialler) : "");
+        at(dialler).join(a, gossip::Side::dialler, named ? std::to_string(acceptor) : "");
         return a;
     }
     void cut(int link) {
@@ -98,7 +98,7 @@
         wire.packets.pop_front();
         const int receiver = wire.to, receiverLink = wire.linkAtReceiver;
         at(receiver).heard(receiverLink, packet.message);
-        if (sides.at(receiverLink) != board::Side::dialler || !at(receiver).complete(receiverLink)) return;
+        if (sides.at(receiverLink) != gossip::Side::dialler || !at(receiver).complete(receiverLink)) return;
         const Versions mine = versionsOf(at(receiver).board());
         for (const auto& [name, version] : packet.held) {
             const auto known = mine.find(name);
--- a/standins/poolerrig.cpp
+++ b/standins/poolerrig.cpp
@@ -139,8 +139,8 @@
             if (auto* out = std::get_if<ToAgent>(&output)) {
                 toCourier.push_back(out->message);
                 // This agent holds nothing but what the rig tells.
-                if (exchanges && out->message.value("k", "") == board::Inventory::kind)
-                    pooler->agentSaid(board::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                if (exchanges && out->message.value("k", "") == gossip::Inventory::kind)
+                    pooler->agentSaid(gossip::Complete{out->message.at("exchange"), 0}.toJson(), now);
                 if (leases && out->message.value("k", "") == "lease?")
                     pooler->agentSaid(
                         {{"k", "lease"}, {"t", out->message["t"]}, {"left", 700'000}, {"c", json::object()}},
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "control/succession.hpp"
-#include "board/lease.hpp"
+#include "gossip/lease.hpp"
 #include "proxy/lead_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "standins/databases.hpp"
@@ -53,7 +53,7 @@
         Nanos offset = 0;
         double rate = 1;
         std::unique_ptr<Succession> succession;
-        board::Board known;
+        gossip::Board known;
         Outputs out;
         std::uint64_t lastAsk = 0;
         bool frozen = false, cutOff = false, answersCut = false, storesCut = false, platformCut = false,
@@ -65,7 +65,7 @@
         Nanos clock() const { return offset + static_cast<Nanos>(static_cast<double>(rig.now) * rate); }
         Outputs& outputs() override { return out; }
         std::uint64_t nextAsk(Succession&) override { return ++lastAsk; }
-        const board::Board& board() const override { return known; }
+        const gossip::Board& board() const override { return known; }
         int syncReplicas(const std::string&) const override { return 1; }
         void change(const std::string&, std::uint64_t ifSeq, Lead to,
                     std::function<void(std::optional<Lead>)> done) override {
@@ -251,7 +251,7 @@
     }
     bool provenByReplicas(const Front& front, const proxy::AcknowledgedWrite& write) const {
         return options.provesByReplicas && write.position &&
-               now < front.evidence.settledUntil() + board::recordsRestedOnFor &&
+               now < front.evidence.settledUntil() + gossip::recordsRestedOnFor &&
                front.replicas.holds(*write.position, 1);
     }
     // Tells clients of writes that are kept; those of which nothing is known are in doubt.
@@ -363,7 +363,7 @@
         lead = to;
         publish("lead/svc", {{to.seq, 0}, written(to)});
     }
-    void publish(const std::string& name, board::Record record) {
+    void publish(const std::string& name, gossip::Record record) {
         truth.put(name, record);
         for (auto& owner : owners)
             if (!owner->cutOff && !owner->answersCut)
@@ -478,7 +478,7 @@
     }
 
     std::multimap<Nanos, std::function<void()>> events;
-    board::Board truth;
+    gossip::Board truth;
     std::map<std::string, std::string> standings, addresses;
     std::uint64_t version = 1, highestFence = 0;
     int writes = 0;
--- a/tests/system/agent.cpp
+++ b/tests/system/agent.cpp
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 
 namespace {
 using granitereel::millis;
@@ -42,9 +42,9 @@
     void take() {
         for (auto all = agent.take(); !all.empty(); all = agent.take())
             for (auto& each : all) {
-                if (each.message["k"] == granitereel::board::Inventory::kind && each.link != proxyLink)
-                    agent.heard(each.link, granitereel::board::Complete{each.message["exchange"], 0}.toJson(),
-                                now);
+                if (each.message["k"] == granitereel::gossip::Inventory::kind && each.link != proxyLink)
+                    agent.heard(each.link,
+                                granitereel::gossip::Complete{each.message["exchange"], 0}.toJson(), now);
                 said.push_back(std::move(each));
             }
     }
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -54,11 +54,11 @@
         while (!answered(at, no) && now - from < millis(3000)) step();
         return now - from;
     }
-    const board::Record* store(const std::string& at, const std::string& id) {
+    const gossip::Record* store(const std::string& at, const std::string& id) {
         return static_cast<const Succession::Means&>(*members[at].control).board().find("store/" + id);
     }
     std::string standing(const std::string& at, const std::string& id) {
-        const board::Record* record = store(at, id);
+        const gossip::Record* record = store(at, id);
         return !record ? "unknown" : record->body.is_null() ? "gone" : record->body.at("standing");
     }
     void cutOff(const std::string& member, bool sends, bool hears) {
--- a/tests/system/gossip.cpp
+++ b/tests/system/gossip.cpp
@@ -7,14 +7,14 @@
 #include <random>
 
 #include "agent/agent.hpp"
-#include "board/difference.hpp"
+#include "gossip/json_diff.hpp"
 #include "standins/control_world.hpp"
 #include "standins/gossip_world.hpp"
 
 namespace {
 using namespace granitereel;
-using board::Json;
-using board::Record;
+using gossip::Json;
+using gossip::Record;
 using standins::GossipWorld;
 
 unsigned seedCount(unsigned usual) {
@@ -71,7 +71,7 @@
             world.settle();
             EXPECT_TRUE(world.equal(1, 2)) << each.shared << " " << each.more;
             EXPECT_LE(world.bytes, each.bytesMost) << each.shared << " " << each.more;
-            EXPECT_LE(world.largest, board::pieceBytes + 4096);
+            EXPECT_LE(world.largest, gossip::pieceBytes + 4096);
             EXPECT_TRUE(world.at(hasMoreDials ? 2 : 1).complete(link));
             EXPECT_EQ(world.brokenPromises, 0);
             std::printf("%d alike, %d more at the %s: %zu bytes, %zu messages\n", each.shared, each.more,
@@ -116,7 +116,7 @@
         moved["itineraries"].erase(static_cast<std::size_t>(place));
         moved["itineraries"].push_back(was["itineraries"][static_cast<std::size_t>(place)]);
         for (const Json& now : {more, fewer, moved}) {
-            const Json patch = board::difference(was, now);
+            const Json patch = gossip::difference(was, now);
             EXPECT_EQ(was.patch(patch), now) << place;
             EXPECT_LT(patch.dump().size(), 400u) << place;
         }
@@ -140,7 +140,7 @@
     };
     for (int i = 0; i < 3000; ++i) {
         const Json was = value(value, 0), now = value(value, 0);
-        ASSERT_EQ(was.patch(board::difference(was, now)), now) << was << now;
+        ASSERT_EQ(was.patch(gossip::difference(was, now)), now) << was << now;
     }
 }
 
@@ -364,7 +364,7 @@
             ASSERT_TRUE(!world.at(1).board().find("store/dead") ||
                         world.at(1).board().find("store/dead")->body.is_null());
             world.nodes[returning].inContact = true;
-            world.pass(board::confirmedWithin + millis(3'000));
+            world.pass(gossip::confirmedWithin + millis(3'000));
             for (const int node : {1, returning}) {
                 const Record* dead = world.at(node).board().find("store/dead");
                 ASSERT_TRUE(!dead || dead->body.is_null()) << halves << " " << through << " at " << node;
@@ -392,7 +392,7 @@
     world.at(0).put("store/dead", {{2, 0}, nullptr});
     for (int node = 1; node < 7; ++node) {
         world.nodes[node].inContact = false;
-        world.pass(board::isolationLimit - millis(5'000));
+        world.pass(gossip::isolationLimit - millis(5'000));
         world.nodes[node + 1].inContact = false;
         world.start(node + 1);
         world.connect(node + 1, node);
@@ -403,7 +403,7 @@
     world.connect(7, 0);
     world.settle();
     world.nodes[7].inContact = true;
-    world.pass(board::confirmedWithin + millis(2'000));
+    world.pass(gossip::confirmedWithin + millis(2'000));
     for (const int node : {0, 7}) EXPECT_FALSE(world.at(node).board().find("store/dead")) << node;
 }
 
@@ -425,7 +425,7 @@
     world.at(1).put(storeName(1), {{1, 5}, storeBody(1)});
     world.settle();
     world.nodes[2].inContact = world.nodes[3].inContact = true;
-    world.pass(board::confirmedWithin + millis(2'000));
+    world.pass(gossip::confirmedWithin + millis(2'000));
     for (const int node : {1, 2, 3}) EXPECT_TRUE(world.at(node).board().find(storeName(1))) << node;
 }
 
@@ -452,7 +452,7 @@
             }
             return names;
         };
-        for (Nanos passed = 0; passed < board::renewedWithin - minute; passed += minute) {
+        for (Nanos passed = 0; passed < gossip::renewedWithin - minute; passed += minute) {
             world.pass(minute);
             ASSERT_TRUE(takeDown().empty());
         }
@@ -502,12 +502,12 @@
     world.settle();
     world.cut(link);
     world.nodes[1].inContact = false;
-    world.pass(3 * board::renewedWithin);
+    world.pass(3 * gossip::renewedWithin);
     world.connect(2, 1);
     world.nodes[1].inContact = true;
     world.pass(millis(1'000));
     EXPECT_TRUE(world.at(1).overdue().empty());
-    world.pass(board::renewedWithin + minute);
+    world.pass(gossip::renewedWithin + minute);
     EXPECT_TRUE(world.at(1).overdue().empty());
     EXPECT_TRUE(world.at(1).board().find("front/2")->body.is_object());
 }
@@ -575,10 +575,10 @@
         settings.ip = "10.0.0.9";
         agent::Agent agent(settings, now);
         std::deque<Json> toAgent;
-        board::Gossip parent([&](int, Json message) { toAgent.push_back(std::move(message)); },
-                             [](auto&, auto&) {});
+        gossip::Gossip parent([&](int, Json message) { toAgent.push_back(std::move(message)); },
+                              [](auto&, auto&) {});
         parent.advance(now, true);
-        board::News early;
+        gossip::News early;
         for (int i = 0; i < 100; ++i) {
             parent.put(storeName(i), {{1, 0}, storeBody(i)});
             early.records.push_back({storeName(i), {1, 0}, {}, storeBody(i)});
@@ -587,7 +587,7 @@
         parent.put("lead/svc", {{2, 0}, {{"store", "new"}}});
         agent.heard(1, early.toJson(), now);
         agent.upward(2, "10.0.0.1", now);
-        parent.join(7, board::Side::acceptor);
+        parent.join(7, gossip::Side::acceptor);
         for (int step = 0; step < 20; ++step) {
             if (step == asksAfter) agent.tick(now);
             for (const auto& said : agent.take()) {
@@ -624,8 +624,8 @@
     auto answered = [&](std::int64_t left_us, const Json& unsettled) {
         agent.tick(now += millis(200));
         for (const auto& said : agent.take()) {
-            if (said.message["k"] == board::Inventory::kind && said.link == 2)
-                agent.heard(2, board::Complete{said.message["exchange"], 0}.toJson(), now);
+            if (said.message["k"] == gossip::Inventory::kind && said.link == 2)
+                agent.heard(2, gossip::Complete{said.message["exchange"], 0}.toJson(), now);
             if (said.message["k"] == "lease?")
                 agent.heard(
                     2, {{"k", "lease"}, {"t", said.message["t"]}, {"left", left_us}, {"c", unsettled}}, now);
@@ -652,10 +652,10 @@
         const Json core{{"epoch", 1}, {"voters", {self, voter, "10.0.0.3:80"}}};
         control::ControlMember member(settings, "1", {{"core", core}}, now);
         std::deque<Json> toMember;
-        board::Gossip peer([&](int, Json message) { toMember.push_back(std::move(message)); },
-                           [](auto&, auto&) {});
+        gossip::Gossip peer([&](int, Json message) { toMember.push_back(std::move(message)); },
+                            [](auto&, auto&) {});
         peer.advance(now, true);
-        board::News early;
+        gossip::News early;
         for (int i = 0; i < 100; ++i) {
             peer.put(storeName(i), {{1, 0}, storeBody(i)});
             early.records.push_back({storeName(i), {1, 0}, {}, storeBody(i)});
@@ -670,7 +670,7 @@
         member.linkUp(1, "", now);
         member.heard(1, early.toJson(), now);
         member.linkUp(2, voter, now);
-        peer.join(7, board::Side::acceptor);
+        peer.join(7, gossip::Side::acceptor);
         const auto answerAll = [&] {
             for (const control::Output& each : member.takeOutputs()) {
                 const auto* out = std::get_if<control::ToLink>(&each);
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 
 #include "agent/agent.hpp"
-#include "board/gossip.hpp"
+#include "gossip/record_replicator.hpp"
 #include "proxy/horizon.hpp"
 #include "proxy/wire.hpp"
 #include "settings/settings.hpp"
@@ -103,14 +103,14 @@
 TEST(Gossip, BringsTogetherBySnapshotAndChanges) {
     std::vector<std::pair<int, nlohmann::json>> fromA, fromB;
     int newsAtB = 0;
-    board::Gossip a([&](int link, auto message) { fromA.emplace_back(link, message); }, [](auto&, auto&) {});
-    board::Gossip b([&](int link, auto message) { fromB.emplace_back(link, message); },
-                    [&](auto&, auto&) { ++newsAtB; });
+    gossip::Gossip a([&](int link, auto message) { fromA.emplace_back(link, message); }, [](auto&, auto&) {});
+    gossip::Gossip b([&](int link, auto message) { fromB.emplace_back(link, message); },
+                     [&](auto&, auto&) { ++newsAtB; });
     nlohmann::json body;
     for (int i = 0; i < 200; ++i)
         body["routes"]["r" + std::to_string(i)] = {{"deadline_ms", i}, {"depot", "d"}};
     a.put("config", {{1, 0}, body});
-    a.join(1, board::Side::acceptor), b.join(1, board::Side::dialler);
+    a.join(1, gossip::Side::acceptor), b.join(1, gossip::Side::dialler);
     auto exchange = [&](bool lose = false) {
         std::size_t bytes = 0;
         while (!fromA.empty() || !fromB.empty()) {
@@ -163,8 +163,8 @@
     EXPECT_EQ(agent.betterParent(), "");
     // Its exchange with the parent is complete before the lease counts (tests/system/gossip.cpp).
     for (const auto& said : agent.take())
-        if (said.link == 6 && said.message["k"] == board::Inventory::kind)
-            agent.heard(6, board::Complete{said.message["exchange"], 0}.toJson(), now);
+        if (said.link == 6 && said.message["k"] == gossip::Inventory::kind)
+            agent.heard(6, gossip::Complete{said.message["exchange"], 0}.toJson(), now);
     for (int i = 0; i < 5; ++i) {
         agent.tick(now += millis(200));
         for (const auto& said : agent.take())
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -224,9 +224,9 @@
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
     member.heard(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
-    board::News news;
+    gossip::News news;
     for (const char* name : {"front/f1", "member/10.0.0.9:80"}) {
-        board::RecordUpdate update;
+        gossip::RecordUpdate update;
         update.name = name;
         update.version = {1, 1};
         update.body = {{"ip", "10.0.0.9"}};
@@ -242,13 +242,13 @@
             world.carry(self);
         }
     };
-    pass(board::renewedWithin - millis(5'000));
+    pass(gossip::renewedWithin - millis(5'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
         EXPECT_TRUE(board.find(name)->body.is_object()) << name;
     pass(millis(10'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
         EXPECT_TRUE(board.find(name)->body.is_null()) << name;
-    pass(board::renewedWithin);
+    pass(gossip::renewedWithin);
     EXPECT_FALSE(board.find("front/f1"));
     EXPECT_TRUE(board.find("member/" + self)->body.is_object());
 }
@@ -260,7 +260,7 @@
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
     const auto& board = static_cast<Succession::Means&>(*world.members[here].control).board();
-    for (const Nanos until = world.now + 2 * board::renewedWithin; world.now < until;) {
+    for (const Nanos until = world.now + 2 * gossip::renewedWithin; world.now < until;) {
         world.now += millis(49);  // so that each step is one in which members tick
         world.step();
     }
--- a/tests/system/parents.cpp
+++ b/tests/system/parents.cpp
@@ -7,7 +7,7 @@
 #include <csignal>
 
 #include "agent/agent.hpp"
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 #include "standins/site.hpp"
 
 namespace {
@@ -43,12 +43,12 @@
         }
     }
     void answer(const Agent::Said& said) {
-        if (said.message["k"] == granitereel::board::Inventory::kind && parentTellsBoard)
-            agent.heard(said.link, granitereel::board::Complete{said.message["exchange"], 0}.toJson(), now);
-        if (said.message["k"] != granitereel::board::LeaseRequest::kind) return;
+        if (said.message["k"] == granitereel::gossip::Inventory::kind && parentTellsBoard)
+            agent.heard(said.link, granitereel::gossip::Complete{said.message["exchange"], 0}.toJson(), now);
+        if (said.message["k"] != granitereel::gossip::LeaseRequest::kind) return;
         const Nanos left = parentHasLease ? millis(700) : 0;
-        const auto number = granitereel::board::LeaseRequest::fromJson(said.message).number;
-        agent.heard(said.link, granitereel::board::LeaseReply{number, left, {}}.toJson(), now);
+        const auto number = granitereel::gossip::LeaseRequest::fromJson(said.message).number;
+        agent.heard(said.link, granitereel::gossip::LeaseReply{number, left, {}}.toJson(), now);
     }
     // The agent itself was cut off for so long that each address failed often.
     void allFailed() {
@@ -104,7 +104,7 @@
     rig.parentHasLease = false;
     rig.pass(millis(1'200));
     const auto reply = [&](int link, Nanos left) {
-        rig.agent.heard(link, granitereel::board::LeaseReply{0, left, {}, 0}.toJson(), rig.now);
+        rig.agent.heard(link, granitereel::gossip::LeaseReply{0, left, {}, 0}.toJson(), rig.now);
     };
     ASSERT_EQ(rig.agent.dial(rig.now), "10.1.0.2");
     rig.agent.dialled(2, "10.1.0.2", rig.now);
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 #include "standins/control_world.hpp"
 
 namespace {
@@ -54,8 +54,8 @@
                 auto* out = std::get_if<ToLink>(&each);
                 if (!out) continue;
                 said.push_back(out->message);
-                if (out->message.at("k") == board::Inventory::kind)
-                    member->heard(out->link, board::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                if (out->message.at("k") == gossip::Inventory::kind)
+                    member->heard(out->link, gossip::Complete{out->message.at("exchange"), 0}.toJson(), now);
             }
     }
     void hear(int link, const Json& message) {
@@ -99,7 +99,7 @@
         return said.at(0).at("c").get<LeadMarks>();
     }
     void news(const std::string& name, std::uint64_t version, const Json& body) {
-        hear(1, board::News{{{name, {version, 0}, std::nullopt, body}}}.toJson());
+        hear(1, gossip::News{{{name, {version, 0}, std::nullopt, body}}}.toJson());
     }
     bool votes() const { return member->state(now)["votes"]; }
     int lease() const { return member->state(now)["lease_left_ms"]; }
