--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -7,67 +7,67 @@
 namespace granitereel::agent {
 
 namespace {
-// Three questions fit into a lease, so that one lost answer does not end it.
-constexpr Nanos askEvery = millis(200);
-// A parent whose exchange of boards has brought nothing for so long tells nothing.
-constexpr Nanos answerWithin = millis(1'000);
-// The number of a candidate's question; those of the parent's begin above it.
-constexpr std::uint64_t candidateQuestion = 0;
+// Three requests fit into a lease, so that one lost reply does not end it.
+constexpr Nanos leaseRequestInterval = millis(200);
+// A parent with which the exchange of records made no progress for this long is of no use.
+constexpr Nanos exchangeTimeout = millis(1'000);
+// The request number that is used with candidates; those used with the parent begin above it.
+constexpr std::uint64_t candidateRequestNumber = 0;
 }  // namespace
 
 Agent::Agent(const settings::Settings& settings, Nanos now)
     : settings_(settings),
       gossip_(
           [this](int link, Json message) {
-              said_.push_back({link, std::move(message)});
+              outgoing_.push_back({link, std::move(message)});
           },
           [](const std::string&, const gossip::Record&) {}),
-      newsBeforeLease_(gossip::newsBeforeLease) {
-    search_.linked("", now);
-    gossip_.own("front/" + settings_.station, {{"district", settings_.district}, {"ip", settings_.ip}});
+      configurationBeforeLease_(gossip::configurationBeforeLease) {
+    search_.setParent("", now);
+    gossip_.publish("front/" + settings_.station, {{"district", settings_.district}, {"ip", settings_.ip}});
 }
 
-std::vector<std::string> Agent::preferred() const {
-    return parentsInOrder(board(), settings_);
+std::vector<std::string> Agent::preferredParents() const {
+    return rankParents(recordTable(), settings_);
 }
 
-std::vector<std::string> Agent::parents() const {
-    return search_.ranked(preferred(), now_);
+std::vector<std::string> Agent::rankedParents() const {
+    return search_.ranked(preferredParents(), now_);
 }
 
 std::string Agent::betterParent() const {
-    return up_ == 0 ? "" : search_.wanted(preferred(), now_).value_or("");
+    return parentLink_ == 0 ? "" : search_.nextCandidate(preferredParents(), now_).value_or("");
 }
 
 void Agent::log(std::optional<std::string> line) {
-    if (line) lines_.push_back(std::move(*line));
+    if (line) logLines_.push_back(std::move(*line));
 }
 
 std::uint64_t Agent::violations() const {
-    return newsBeforeLease_.violations() + search_.allTried().violations();
+    return configurationBeforeLease_.violations() + search_.allTried().violations();
 }
 
-// ---- links upwards --------------------------------------------------------------------------------
+// ---- the parent link ------------------------------------------------------------------------------
 
-std::optional<std::string> Agent::dial(Nanos now) {
-    return search_.mayDial(now) ? search_.dial(preferred(), now) : std::nullopt;
+std::optional<std::string> Agent::nextDial(Nanos now) {
+    return search_.canDial(now) ? search_.startDial(preferredParents(), now) : std::nullopt;
 }
 
-void Agent::dialled(int link, const std::string& address, Nanos now) {
-    if (up_ == 0) {
+void Agent::dialSucceeded(int link, const std::string& address, Nanos now) {
+    if (parentLink_ == 0) {
         search_.dialEnded();
-        return upward(link, address, now);
+        return setParentLink(link, address, now);
     }
-    if (!search_.improves(address, preferred(), now)) {
+    if (!search_.improves(address, preferredParents(), now)) {
         search_.dialEnded();
-        return closed_.push_back(link);
+        return linksToClose_.push_back(link);
     }
     candidates_[link] = {address, now};
-    greet(link);
-    said_.push_back({link, gossip::LeaseRequest{candidateQuestion}.toJson()});
+    sendHello(link);
+    outgoing_.push_back({link, gossip::LeaseRequest{candidateRequestNumber}.toJson()});
 }
 
-void Agent::unreachable(const std::string& address, Nanos now) {
+void Agent::dialFailed(const std::string& address, Nanos now) {
     search_.dialEnded();
     backOff(address, now);
 }
@@ -76,127 +76,130 @@
     search_.failed(address, now);
 }
 
-void Agent::greet(int link) {
-    said_.push_back({link, {{"k", "hello"}, {"kind", "front"}, {"station", settings_.station}}});
+void Agent::sendHello(int link) {
+    outgoing_.push_back({link, {{"k", "hello"}, {"kind", "front"}, {"station", settings_.station}}});
 }
 
-void Agent::upward(int link, const std::string& address, Nanos now) {
-    if (up_ != 0) {
-        gossip_.leave(up_);
-        if (link != 0) closed_.push_back(up_);
+void Agent::setParentLink(int link, const std::string& address, Nanos now) {
+    if (parentLink_ != 0) {
+        gossip_.removeLink(parentLink_);
+        if (link != 0) linksToClose_.push_back(parentLink_);
     }
-    up_ = link;
-    reportedWithoutLease_ = false;
-    search_.linked(link == 0 ? "" : address, now);
-    questions_.forget();
-    askedAt_ = 0;
-    if (link == 0) return log("the link upwards is lost");
+    parentLink_ = link;
+    missingLeaseReported_ = false;
+    search_.setParent(link == 0 ? "" : address, now);
+    leaseRequests_.clear();
+    leaseRequestedAt_ = 0;
+    if (link == 0) return log("link to the parent lost");
     log("news comes from " + address);
     if (candidates_.erase(link))
-        search_.dialEnded();  // it has been greeted
+        search_.dialEnded();  // the hello was sent when it became a candidate
     else
-        greet(link);
+        sendHello(link);
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(link, gossip::Side::dialler);
+    gossip_.addLink(link, gossip::Side::dialler);
 }
 
-void Agent::giveUp(int link, Nanos now) {
-    const auto at = candidates_.find(link);
-    log(at->second.address + " gives no lease");
-    backOff(at->second.address, now);
-    candidates_.erase(at);
+void Agent::giveUpCandidate(int link, Nanos now) {
+    const auto it = candidates_.find(link);
+    log(it->second.address + " gives no lease");
+    backOff(it->second.address, now);
+    candidates_.erase(it);
     search_.dialEnded();
-    closed_.push_back(link);
+    linksToClose_.push_back(link);
 }
 
-// ---- links below ----------------------------------------------------------------------------------
+// ---- links of children ----------------------------------------------------------------------------
 
-void Agent::linkUp(int link, Nanos now) {
-    below_.insert(link);
+void Agent::childConnected(int link, Nanos now) {
+    children_.insert(link);
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(link, gossip::Side::acceptor);
+    gossip_.addLink(link, gossip::Side::acceptor);
 }
 
-void Agent::linkDown(int link, Nanos now) {
-    if (link == up_) return upward(0, "", now);
-    if (candidates_.count(link)) return giveUp(link, now);
-    below_.erase(link);
-    gossip_.leave(link);
+void Agent::linkClosed(int link, Nanos now) {
+    if (link == parentLink_) return setParentLink(0, "", now);
+    if (candidates_.count(link)) return giveUpCandidate(link, now);
+    children_.erase(link);
+    gossip_.removeLink(link);
 }
 
-// ---- what is said ---------------------------------------------------------------------------------
+// ---- messages -------------------------------------------------------------------------------------
 
-void Agent::heard(int link, const Json& message, Nanos now) {
+void Agent::receive(int link, const Json& message, Nanos now) {
     const std::string kind = message.at("k");
-    const bool candidate = candidates_.count(link) > 0;
+    const bool fromCandidate = candidates_.count(link) > 0;
     gossip_.advance(now, lease_.valid(now));
-    if (gossip::isGossip(kind)) {
-        // What a candidate tells is told again by the exchange that follows once it is the parent.
-        if (!candidate) gossip_.heard(link, message);
+    if (gossip::isGossipMessage(kind)) {
+        // What a candidate sends is sent again in the exchange that starts once it is the parent.
+        if (!fromCandidate) gossip_.receive(link, message);
     } else if (kind == gossip::LeaseReply::kind) {
         const gossip::LeaseReply reply = gossip::LeaseReply::fromJson(message);
-        if (candidate)
-            candidateReplied(link, reply, now);
-        else if (link == up_)
-            leaseReplied(reply, now);
+        if (fromCandidate)
+            handleCandidateReply(link, reply, now);
+        else if (link == parentLink_)
+            handleLeaseReply(reply, now);
     } else if (kind == gossip::LeaseRequest::kind) {
         const std::uint64_t number = gossip::LeaseRequest::fromJson(message).number;
-        const gossip::LeaseReply reply{number, lease_.left(now), lease_.unsettled(),
-                                       gossip::configurationVersion(board())};
-        said_.push_back({link, reply.toJson()});
+        const gossip::LeaseReply reply{number, lease_.remaining(now), lease_.unsettled(),
+                                       gossip::configurationVersion(recordTable())};
+        outgoing_.push_back({link, reply.toJson()});
     } else if (kind == "suspect") {
-        if (up_ != 0) said_.push_back({up_, message});
+        if (parentLink_ != 0) outgoing_.push_back({parentLink_, message});
     }
 }
 
-void Agent::candidateReplied(int link, const gossip::LeaseReply& reply, Nanos now) {
-    if (reply.left <= 0) return giveUp(link, now);
+void Agent::handleCandidateReply(int link, const gossip::LeaseReply& reply, Nanos now) {
+    if (reply.remaining <= 0) return giveUpCandidate(link, now);
     const std::string address = candidates_.at(link).address;
-    if (search_.improves(address, preferred(), now)) return upward(link, address, now);
+    if (search_.improves(address, preferredParents(), now)) return setParentLink(link, address, now);
     candidates_.erase(link);
     search_.dialEnded();
-    closed_.push_back(link);
-}
-
-void Agent::leaseReplied(const gossip::LeaseReply& reply, Nanos now) {
-    const auto asked = questions_.answered(reply.number);
-    if (!asked) return;
-    bool complete = gossip_.complete(up_);
-    if (complete && reply.left > 0) {
-        const std::uint64_t held = gossip::configurationVersion(board());
-        log(newsBeforeLease_.check(held >= reply.configuration, "configuration " + std::to_string(held) +
-                                                                    " under a lease of " + search_.parent() +
-                                                                    ", which holds " +
-                                                                    std::to_string(reply.configuration)));
-        if (held < reply.configuration) {
+    linksToClose_.push_back(link);
+}
+
+void Agent::handleLeaseReply(const gossip::LeaseReply& reply, Nanos now) {
+    const auto requestedAt = leaseRequests_.complete(reply.number);
+    if (!requestedAt) return;
+    // The lease counts only while this agent holds all records that the parent held. Otherwise the agent, and
+    // all that get their lease from it, could trust a record of a primary that was replaced before the lease
+    // was granted.
+    bool complete = gossip_.isComplete(parentLink_);
+    if (complete && reply.remaining > 0) {
+        const std::uint64_t held = gossip::configurationVersion(recordTable());
+        log(configurationBeforeLease_.check(held >= reply.configurationVersion,
+                                            "configuration " + std::to_string(held) + " under a lease of " +
+                                                search_.parent() + ", which holds " +
+                                                std::to_string(reply.configurationVersion)));
+        if (held < reply.configurationVersion) {
             complete = false;
-            gossip_.exchangeAnew(up_);
+            gossip_.restartExchange(parentLink_);
         }
     }
-    lease_.granted(*asked, reply, complete);
-    // Without the board behind it a lease is of no use; what comes piece by piece is waited for.
-    if (reply.left <= 0 || gossip_.unansweredFor(up_) > answerWithin) return;
-    search_.granted(now);
-    reportedWithoutLease_ = false;
+    lease_.applyReply(*requestedAt, reply, complete);
+    // A lease is of no use without the records behind it; an exchange that makes progress is waited for.
+    if (reply.remaining <= 0 || gossip_.exchangeStalledFor(parentLink_) > exchangeTimeout) return;
+    search_.leaseGranted(now);
+    missingLeaseReported_ = false;
 }
 
 void Agent::tick(Nanos now) {
     now_ = now;
     gossip_.advance(now, lease_.valid(now));
-    log(contact_.seen(lease_.until(), now));
-    if (up_ != 0 && now - askedAt_ >= askEvery) {
-        askedAt_ = now;
-        said_.push_back({up_, gossip::LeaseRequest{questions_.ask(now)}.toJson()});
+    log(contactMonitor_.update(lease_.until(), now));
+    if (parentLink_ != 0 && now - leaseRequestedAt_ >= leaseRequestInterval) {
+        leaseRequestedAt_ = now;
+        outgoing_.push_back({parentLink_, gossip::LeaseRequest{leaseRequests_.start(now)}.toJson()});
     }
     std::vector<int> silent;
     for (const auto& [link, candidate] : candidates_)
-        if (now - candidate.since > ParentSearch::leaseMissingAfter) silent.push_back(link);
-    for (const int link : silent) giveUp(link, now);
-    if (search_.withoutLease(now) && !std::exchange(reportedWithoutLease_, true)) {
+        if (now - candidate.since > ParentSearch::leaseTimeout) silent.push_back(link);
+    for (const int link : silent) giveUpCandidate(link, now);
+    if (search_.leaseMissing(now) && !std::exchange(missingLeaseReported_, true)) {
         log("parent " + search_.parent() + " gives no lease: others are tried");
         backOff(search_.parent(), now);
     }
-    if (search_.searching(now)) log(search_.tick(preferred(), now));
+    if (search_.isSearching(now)) log(search_.tick(preferredParents(), now));
 }
 
 }  // namespace granitereel::agent
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,7 +1,7 @@
-// The agent beside a proxy: it holds one link towards control, keeps the board alike, carries the lease on
-// what is known of leads, and feeds the proxy over loopback. Agents form the tree by which news goes down: in
-// a district without a member of control, one of them holds the link and the others hang on it. Free of I/O,
-// clocks and chance.
+// The agent beside a proxy. It holds one link towards control, replicates the record table over it, passes on
+// the lease under which the records of primaries may be trusted, and serves the proxy over loopback. Agents
+// form the tree along which updates are distributed: in a district without a member of control some of them
+// hold a link out of the district, and the others are their children. Free of I/O, clocks and randomness.
 #pragma once
 
 #include <map>
@@ -23,71 +23,68 @@
 
 class Agent {
 public:
-    struct Said {
+    struct OutgoingMessage {
         int link = 0;
         Json message;
     };
     Agent(const settings::Settings& settings, Nanos now);
 
-    // Where the link upwards is to be sought now, best first: addresses of members, or of agents that pass
-    // on.
-    std::vector<std::string> parents() const;
-    // What is to be tried beside the present parent while the link to that one stands; empty: nothing.
+    // The possible parents at present, best first: addresses of members, or of agents that pass updates on.
+    std::vector<std::string> rankedParents() const;
+    // The address to try beside the present parent while the link to that one stands; empty: none.
     std::string betterParent() const;
-    // The address to dial now, if any. One of dialled() and unreachable() tells what came of it.
-    std::optional<std::string> dial(Nanos now);
-    // A link to the address is there. It becomes the one upwards at once where there is none; else once its
-    // other side has shown to have a lease, or it is given up.
-    void dialled(int link, const std::string& address, Nanos now);
-    void unreachable(const std::string& address, Nanos now);
-    // The upward link is that of `address`; 0 as `link`: it is lost.
-    void upward(int link, const std::string& address, Nanos now);
-    // No link could be had to it, or no lease: others go before it for a while, which doubles.
+    // The address to dial now, if any. Its outcome is reported by dialSucceeded() or dialFailed().
+    std::optional<std::string> nextDial(Nanos now);
+    // There is a link to the address. It becomes the parent link at once where there is none; otherwise once
+    // the peer has granted a lease, or it is given up.
+    void dialSucceeded(int link, const std::string& address, Nanos now);
+    void dialFailed(const std::string& address, Nanos now);
+    // The parent link is now that to `address`; 0 as `link`: it is lost.
+    void setParentLink(int link, const std::string& address, Nanos now);
+    // No link to the address could be made, or it granted no lease: it ranks behind the others for a while,
+    // which doubles with each failure.
     void backOff(const std::string& address, Nanos now);
-    void linkUp(int link, Nanos now);  // an agent below, or the proxy
-    void linkDown(int link, Nanos now);
-    void heard(int link, const Json& message, Nanos now);
+    void childConnected(int link, Nanos now);  // an agent that has this one as its parent, or the proxy
+    void linkClosed(int link, Nanos now);
+    void receive(int link, const Json& message, Nanos now);
     void tick(Nanos now);
-    std::vector<Said> take() { return std::exchange(said_, {}); }
-    // Links that are to be closed.
-    std::vector<int> takeClosed() { return std::exchange(closed_, {}); }
-    // Lines for the log.
-    std::vector<std::string> takeLines() { return std::exchange(lines_, {}); }
-    // Whether anyone hangs on this one.
-    bool feeds() const { return !below_.empty(); }
-    const gossip::Board& board() const { return gossip_.board(); }
+    std::vector<OutgoingMessage> takeOutgoing() { return std::exchange(outgoing_, {}); }
+    std::vector<int> takeLinksToClose() { return std::exchange(linksToClose_, {}); }
+    std::vector<std::string> takeLogLines() { return std::exchange(logLines_, {}); }
+    bool hasChildren() const { return !children_.empty(); }
+    const gossip::RecordTable& recordTable() const { return gossip_.recordTable(); }
     Nanos leaseUntil() const { return lease_.until(); }
-    // How often one of its invariants was found broken.
+    // How often one of its invariants was violated.
     std::uint64_t violations() const;
 
 private:
-    // A link whose other side has not shown to have a lease yet.
+    // A link whose peer has not granted a lease yet.
     struct Candidate {
         std::string address;
         Nanos since = 0;
     };
-    std::vector<std::string> preferred() const;
-    void leaseReplied(const gossip::LeaseReply& reply, Nanos now);
-    void candidateReplied(int link, const gossip::LeaseReply& reply, Nanos now);
-    void giveUp(int link, Nanos now);
-    void greet(int link);
+    std::vector<std::string> preferredParents() const;
+    void handleLeaseReply(const gossip::LeaseReply& reply, Nanos now);
+    void handleCandidateReply(int link, const gossip::LeaseReply& reply, Nanos now);
+    void giveUpCandidate(int link, Nanos now);
+    void sendHello(int link);
     void log(std::optional<std::string> line);
 
     const settings::Settings settings_;
-    std::vector<Said> said_;
-    std::vector<int> closed_;
-    std::vector<std::string> lines_;
-    gossip::Gossip gossip_;
-    int up_ = 0;
-    std::set<int> below_;
+    std::vector<OutgoingMessage> outgoing_;
+    std::vector<int> linksToClose_;
+    std::vector<std::string> logLines_;
+    gossip::RecordReplicator gossip_;
+    int parentLink_ = 0;  // 0: none
+    std::set<int> children_;
     ParentSearch search_;
     std::map<int, Candidate> candidates_;
-    gossip::LeaseQuestions questions_;
+    gossip::LeaseRequests leaseRequests_;
     gossip::HeldLease lease_;
-    gossip::ContactWatch contact_;
-    gossip::Invariant newsBeforeLease_;
-    Nanos askedAt_ = 0, now_ = 0;
-    bool reportedWithoutLease_ = false;  // the parent was found to give no lease
+    gossip::ControlContactMonitor contactMonitor_;
+    gossip::Invariant configurationBeforeLease_;
+    Nanos leaseRequestedAt_ = 0, now_ = 0;
+    bool missingLeaseReported_ = false;  // the log says that the present parent gives no lease
 };
 
 }  // namespace granitereel::agent
--- a/src/agent/parent_order.cpp
+++ b/src/agent/parent_order.cpp
@@ -7,17 +7,17 @@
 namespace granitereel::agent {
 
 namespace {
-// How many agents hang on a member of control of their district, how many hold a link out of a district
-// without one, and how many hang on an agent: a child costs its parent some 30 us five times a second, and 1
-// KB/s.
-constexpr std::size_t rootsOfMember = 16, rootsAlone = 4, childrenMost = 4;
+// How many agents have a member of control of their district as their parent, how many hold a link out of a
+// district without a member, and how many have one agent as their parent: a child costs its parent some 30 us
+// five times a second, and 1 KB/s.
+constexpr std::size_t maxChildrenOfMember = 16, maxLinksOutOfDistrict = 4, maxChildrenOfAgent = 4;
 
-struct Known {
+struct Peer {
     std::string ip, name;
 };
 
-std::uint64_t weight(const std::string& who, const std::string& what) {
-    const std::string both = who + '\n' + what;
+std::uint64_t weight(const std::string& name, const std::string& key) {
+    const std::string both = name + '\n' + key;
     return XXH64(both.data(), both.size(), 0);
 }
 
@@ -25,49 +25,54 @@
     return address.substr(0, address.rfind(':'));
 }
 
-void orderBy(std::vector<Known>& some, const std::string& by) {
-    std::sort(some.begin(), some.end(), [&](const Known& one, const Known& other) {
-        return weight(one.name, by) > weight(other.name, by);
+// Rendezvous hashing: a pseudo-random order that depends on `key` alone; adding or removing a peer does not
+// reorder the others.
+void sortByHash(std::vector<Peer>& peers, const std::string& key) {
+    std::sort(peers.begin(), peers.end(), [&](const Peer& one, const Peer& other) {
+        return weight(one.name, key) > weight(other.name, key);
     });
 }
 
-// The first few hang on the district's members, or on some elsewhere; each further one on the agent that its
-// place in the order says, else, should that be gone, on that one's own parents.
-std::vector<std::string> agentsAbove(const std::vector<Known>& agents, const std::string& ip,
+// The agents above this one in the tree, nearest first. The first `roots` agents have none: they are linked
+// to members. Each further one has the agent that follows from its index as its parent and, should that one
+// be gone, the parent of that one.
+std::vector<std::string> agentsAbove(const std::vector<Peer>& agents, const std::string& ip,
                                      std::size_t roots) {
     const auto self =
-        std::find_if(agents.begin(), agents.end(), [&](const Known& each) { return each.ip == ip; });
+        std::find_if(agents.begin(), agents.end(), [&](const Peer& each) { return each.ip == ip; });
     std::vector<std::string> above;
     if (self == agents.end()) return above;
-    for (auto place = static_cast<std::size_t>(self - agents.begin()); place >= roots;) {
-        place = (place - roots) / childrenMost;
-        above.push_back(agents[place].ip);
+    for (auto index = static_cast<std::size_t>(self - agents.begin()); index >= roots;) {
+        index = (index - roots) / maxChildrenOfAgent;
+        above.push_back(agents[index].ip);
     }
     return above;
 }
 }  // namespace
 
-std::vector<std::string> parentsInOrder(const gossip::Board& board, const settings::Settings& settings) {
-    std::vector<Known> members, farMembers, agents;
-    board.under("member/", [&](const std::string& name, const gossip::Record& record) {
+std::vector<std::string> rankParents(const gossip::RecordTable& recordTable,
+                                     const settings::Settings& settings) {
+    std::vector<Peer> members, remoteMembers, agents;
+    recordTable.forEachWithPrefix("member/", [&](const std::string& name, const gossip::Record& record) {
         if (!record.body.is_object()) return;
-        const bool near = record.body.value("district", "") == settings.district;
-        (near ? members : farMembers).push_back({record.body.value("ip", ""), name});
+        const bool local = record.body.value("district", "") == settings.district;
+        (local ? members : remoteMembers).push_back({record.body.value("ip", ""), name});
     });
-    board.under("front/", [&](const std::string& name, const gossip::Record& record) {
+    recordTable.forEachWithPrefix("front/", [&](const std::string& name, const gossip::Record& record) {
         if (record.body.is_object() && record.body.value("district", "") == settings.district)
             agents.push_back({record.body.value("ip", ""), name});
     });
-    orderBy(members, settings.station);
-    orderBy(farMembers, settings.station);
-    orderBy(agents, settings.district);  // all of a district agree on its tree
-    const std::size_t roots = members.empty() ? rootsAlone : rootsOfMember * members.size();
-    std::vector<std::string> all = agentsAbove(agents, settings.ip, roots);
-    for (const Known& each : members) all.push_back(each.ip);
-    for (const Known& each : farMembers) all.push_back(each.ip);
+    sortByHash(members, settings.station);
+    sortByHash(remoteMembers, settings.station);
+    sortByHash(agents, settings.district);  // the same for all agents of the district
+    const std::size_t roots = members.empty() ? maxLinksOutOfDistrict : maxChildrenOfMember * members.size();
+    std::vector<std::string> parents = agentsAbove(agents, settings.ip, roots);
+    for (const Peer& each : members) parents.push_back(each.ip);
+    for (const Peer& each : remoteMembers) parents.push_back(each.ip);
     for (const std::string& seed : settings.seeds)
-        if (std::find(all.begin(), all.end(), ipOf(seed)) == all.end()) all.push_back(ipOf(seed));
-    return all;
+        if (std::find(parents.begin(), parents.end(), ipOf(seed)) == parents.end())
+            parents.push_back(ipOf(seed));
+    return parents;
 }
 
 }  // namespace granitereel::agent
--- a/src/agent/parent_order.hpp
+++ b/src/agent/parent_order.hpp
@@ -1,5 +1,5 @@
-// The order in which an agent prefers its parents: the members of control and the agents that it may hang on,
-// by what the board says of them. All agents of a district agree on the tree that follows. Free of I/O.
+// The order in which an agent prefers its possible parents: members of control and other agents, as the
+// record table names them. Agents with equal tables agree on the tree of their district. Free of I/O.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
 
 namespace granitereel::agent {
 
-// Addresses, best first. An agent that hangs on others has those, nearest first, before the members of its
-// district, those elsewhere and the seeds.
-std::vector<std::string> parentsInOrder(const gossip::Board& board, const settings::Settings& settings);
+// Addresses, best first. An agent whose place in the tree is below other agents prefers those, nearest first,
+// to the members of its district, then those elsewhere, then the seeds.
+std::vector<std::string> rankParents(const gossip::RecordTable& recordTable,
+                                     const settings::Settings& settings);
 
 }  // namespace granitereel::agent
--- a/src/agent/parent_search.cpp
+++ b/src/agent/parent_search.cpp
@@ -7,83 +7,83 @@
 namespace granitereel::agent {
 
 namespace {
-constexpr Nanos shortestBackoff = millis(2'000), longestBackoff = millis(16'000);
-// Connections that may be on their way at once: a machine without power says nothing for a second, and others
-// are tried beside it.
-constexpr int dialsMost = 3;
-constexpr Nanos dialEvery = millis(100);
-// Once all have been tried in vain, a further round is slower: thousands of agents may be searching while no
+constexpr Nanos minBackoff = millis(2'000), maxBackoff = millis(16'000);
+// Connections that may be under way at once: a machine without power does not answer for a second, and others
+// are tried meanwhile.
+constexpr int maxOpenDials = 3;
+constexpr Nanos dialInterval = millis(100);
+// The interval once all addresses have been tried in vain: thousands of agents may be searching while no
 // member has a lease.
-constexpr Nanos dialAgainEvery = millis(1'000);
-// A new link is given so long before a better one is sought, which is then looked for as often.
-constexpr Nanos betterEvery = millis(500);
-// All must have been tried within this, and so much more for each address.
-constexpr Nanos triedWithin = millis(1'000), triedWithinEach = millis(650);
-// A longer time between two ticks was no search: the process stood still.
-constexpr Nanos tickMost = millis(300);
+constexpr Nanos repeatedDialInterval = millis(1'000);
+// For how long a new parent is kept before a better one is looked for, and how often that is done afterwards.
+constexpr Nanos betterParentInterval = millis(500);
+// All addresses must have been tried within this, and this much more for each address.
+constexpr Nanos maxSearchTime = millis(1'000), maxSearchTimePerAddress = millis(650);
+// The most that counts between two ticks: in a longer gap the process was stopped and did not search.
+constexpr Nanos maxTickGap = millis(300);
 }  // namespace
 
-void ParentSearch::linked(const std::string& parent, Nanos now) {
-    // A parent that was found to give no lease has been tried in this search, from when it was linked.
-    if (withoutLease(now)) triedAt_[parent_] = linkedAt_;
-    if (parent.empty()) nextDialAt_ = std::min(nextDialAt_, now + dialEvery);
+void ParentSearch::setParent(const std::string& parent, Nanos now) {
+    // A former parent that granted no lease has been tried in this search, when it became the parent.
+    if (leaseMissing(now)) triedAt_[parent_] = parentSetAt_;
+    if (parent.empty()) nextDialAt_ = std::min(nextDialAt_, now + dialInterval);
     parent_ = parent;
-    linkedAt_ = grantedAt_ = now;
+    parentSetAt_ = leaseGrantedAt_ = now;
     if (!parent.empty()) triedAt_[parent] = now;
 }
 
-void ParentSearch::granted(Nanos now) {
-    // Where all failed, it was this process that was cut off: that tells nothing of the others.
+void ParentSearch::leaseGranted(Nanos now) {
+    // Where all addresses failed, this process itself was cut off, which says nothing about the others.
     const bool searched = searchedFor_ > 0 && !searched_.empty();
     if (searched && std::all_of(searched_.begin(), searched_.end(), [&](const auto& each) {
             return each == parent_ || backoffs_.count(each) > 0;
         }))
         backoffs_.clear();
-    grantedAt_ = now;
+    leaseGrantedAt_ = now;
     searchedFor_ = 0;
-    nextDialAt_ = std::min(nextDialAt_, now + dialEvery);
+    nextDialAt_ = std::min(nextDialAt_, now + dialInterval);
     triedAt_.clear();
     backoffs_.erase(parent_);
 }
 
 void ParentSearch::failed(const std::string& address, Nanos now) {
     Backoff& backoff = backoffs_[address];
-    backoff.length = std::clamp(2 * backoff.length, shortestBackoff, longestBackoff);
+    backoff.length = std::clamp(2 * backoff.length, minBackoff, maxBackoff);
     backoff.until = now + backoff.length;
 }
 
-bool ParentSearch::backedOff(const std::string& address, Nanos now) const {
-    const auto at = backoffs_.find(address);
-    return at != backoffs_.end() && now < at->second.until;
+bool ParentSearch::isBackedOff(const std::string& address, Nanos now) const {
+    const auto it = backoffs_.find(address);
+    return it != backoffs_.end() && now < it->second.until;
 }
 
 ParentSearch::Addresses ParentSearch::ranked(const Addresses& preferred, Nanos now) const {
     Addresses all = preferred;
-    std::stable_partition(all.begin(), all.end(), [&](const auto& each) { return !backedOff(each, now); });
+    std::stable_partition(all.begin(), all.end(), [&](const auto& each) { return !isBackedOff(each, now); });
     return all;
 }
 
-// Whether the address comes before the parent; an unknown parent comes last.
-bool ParentSearch::better(const std::string& address, const Addresses& preferred) const {
+// Whether the address ranks before the parent; an unknown parent ranks last.
+bool ParentSearch::isPreferred(const std::string& address, const Addresses& preferred) const {
     const auto parent = std::find(preferred.begin(), preferred.end(), parent_);
     return std::find(preferred.begin(), parent, address) != parent;
 }
 
 bool ParentSearch::improves(const std::string& address, const Addresses& preferred, Nanos now) const {
-    return searching(now) || better(address, preferred);
+    return isSearching(now) || isPreferred(address, preferred);
 }
 
-std::optional<std::string> ParentSearch::wanted(const Addresses& preferred, Nanos now) const {
-    if (!searching(now)) {
-        const auto at = std::find_if(preferred.begin(), preferred.end(),
-                                     [&](const auto& each) { return !backedOff(each, now); });
-        if (at == preferred.end() || !better(*at, preferred)) return std::nullopt;
-        return *at;
+std::optional<std::string> ParentSearch::nextCandidate(const Addresses& preferred, Nanos now) const {
+    if (!isSearching(now)) {
+        const auto it = std::find_if(preferred.begin(), preferred.end(),
+                                     [&](const auto& each) { return !isBackedOff(each, now); });
+        if (it == preferred.end() || !isPreferred(*it, preferred)) return std::nullopt;
+        return *it;
     }
-    // The one whose last try is longest ago; of those not tried yet, one without a back-off.
+    // The one that was tried longest ago; among those not tried yet, one without a back-off.
     const auto rank = [&](const std::string& address) {
         const auto tried = triedAt_.find(address);
-        return std::tuple(tried == triedAt_.end() ? Nanos(0) : tried->second, backedOff(address, now));
+        return std::tuple(tried == triedAt_.end() ? Nanos(0) : tried->second, isBackedOff(address, now));
     };
     std::optional<std::string> first;
     for (const std::string& each : preferred)
@@ -91,41 +91,41 @@
     return first;
 }
 
-bool ParentSearch::mayDial(Nanos now) const {
-    if (searching(now)) return now >= nextDialAt_ && dialsUnderWay_ < dialsMost;
-    return now >= nextBetterAt_ && dialsUnderWay_ == 0 && now - linkedAt_ > betterEvery;
+bool ParentSearch::canDial(Nanos now) const {
+    if (isSearching(now)) return now >= nextDialAt_ && openDials_ < maxOpenDials;
+    return now >= nextBetterAt_ && openDials_ == 0 && now - parentSetAt_ > betterParentInterval;
 }
 
-std::optional<std::string> ParentSearch::dial(const Addresses& preferred, Nanos now) {
-    if (!mayDial(now)) return std::nullopt;
-    nextBetterAt_ = now + betterEvery;
-    std::optional<std::string> address = wanted(preferred, now);
+std::optional<std::string> ParentSearch::startDial(const Addresses& preferred, Nanos now) {
+    if (!canDial(now)) return std::nullopt;
+    nextBetterAt_ = now + betterParentInterval;
+    std::optional<std::string> address = nextCandidate(preferred, now);
     if (!address) return std::nullopt;
-    const bool again = !parent_.empty() && triedAt_.count(*address);
-    nextDialAt_ = now + (again ? dialAgainEvery : dialEvery);
+    const bool repeated = !parent_.empty() && triedAt_.count(*address);
+    nextDialAt_ = now + (repeated ? repeatedDialInterval : dialInterval);
     triedAt_[*address] = now;
-    ++dialsUnderWay_;
+    ++openDials_;
     return address;
 }
 
-std::size_t ParentSearch::untried(const Addresses& preferred) const {
+std::size_t ParentSearch::untriedCount(const Addresses& preferred) const {
     return static_cast<std::size_t>(std::count_if(preferred.begin(), preferred.end(), [&](const auto& each) {
         return each != parent_ && !triedAt_.count(each);
     }));
 }
 
 std::optional<std::string> ParentSearch::tick(const Addresses& preferred, Nanos now) {
-    const Nanos passed = std::min(now - std::exchange(tickedAt_, now), tickMost);
+    const Nanos elapsed = std::min(now - std::exchange(tickedAt_, now), maxTickGap);
     if (preferred != searched_) {
         searched_ = preferred;
         searchedFor_ = 0;
     }
-    searchedFor_ += passed;
-    const Nanos bound = triedWithin + static_cast<Nanos>(preferred.size()) * triedWithinEach;
-    const std::size_t left = searchedFor_ <= bound ? 0 : untried(preferred);
-    return allTried_.check(left == 0, std::to_string(left) + " of " + std::to_string(preferred.size()) +
-                                          " not tried in " + std::to_string(searchedFor_ / millis(1)) +
-                                          " ms");
+    searchedFor_ += elapsed;
+    const Nanos limit = maxSearchTime + static_cast<Nanos>(preferred.size()) * maxSearchTimePerAddress;
+    const std::size_t untried = searchedFor_ <= limit ? 0 : untriedCount(preferred);
+    return allTried_.check(untried == 0, std::to_string(untried) + " of " + std::to_string(preferred.size()) +
+                                             " not tried in " + std::to_string(searchedFor_ / millis(1)) +
+                                             " ms");
 }
 
 }  // namespace granitereel::agent
--- a/src/agent/parent_search.hpp
+++ b/src/agent/parent_search.hpp
@@ -1,7 +1,8 @@
-// Where an agent's link upwards is to lead. While the present parent gives leases, only a better one is
-// tried, and not within the back-off that follows a failure. Without a parent that gives leases every other
-// address is tried in turn, whatever failed before: a back-off remembers the past, perhaps of a time when
-// the agent itself was cut off, and must never keep it behind. Free of I/O, clocks and chance.
+// Which address an agent dials to find or replace its parent. While the present parent grants leases, only a
+// better one is tried, and not within the back-off that follows a failure. Without a parent that grants
+// leases every other address is tried in turn, whatever failed before: a back-off is about the past, perhaps
+// about a time when the agent itself was cut off, and must never keep the agent away from a parent that
+// works. Free of I/O, clocks and randomness.
 #pragma once
 
 #include <cstdint>
@@ -18,49 +19,51 @@
 class ParentSearch {
 public:
     using Addresses = std::vector<std::string>;
-    // A parent that has given no lease for so long is cut off from the core, or from here.
-    static constexpr Nanos leaseMissingAfter = millis(900);
+    // A parent that has granted no lease for this long is cut off from the voters, or from this agent.
+    static constexpr Nanos leaseTimeout = millis(900);
 
-    // The link upwards is that of `parent` from now on; empty: there is none.
-    void linked(const std::string& parent, Nanos now);
-    // The parent gave a lease.
-    void granted(Nanos now);
-    // No link could be had to the address, or no lease from it: a back-off, which doubles.
+    // The parent is `parent` from now on; empty: there is none.
+    void setParent(const std::string& parent, Nanos now);
+    // The parent granted a lease.
+    void leaseGranted(Nanos now);
+    // No link to the address could be made, or it granted no lease: starts a back-off, twice as long each
+    // time.
     void failed(const std::string& address, Nanos now);
     const std::string& parent() const { return parent_; }
-    // Whether there is no parent that gives leases.
-    bool searching(Nanos now) const { return parent_.empty() || withoutLease(now); }
-    bool withoutLease(Nanos now) const { return !parent_.empty() && now - grantedAt_ > leaseMissingAfter; }
-    // Whether the address is worth more than the present parent: it gives no lease, or is less preferred.
+    // Whether there is no parent that grants leases.
+    bool isSearching(Nanos now) const { return parent_.empty() || leaseMissing(now); }
+    bool leaseMissing(Nanos now) const { return !parent_.empty() && now - leaseGrantedAt_ > leaseTimeout; }
+    // Whether the address should replace the present parent: that one grants no lease, or is less preferred.
     bool improves(const std::string& address, const Addresses& preferred, Nanos now) const;
-    bool backedOff(const std::string& address, Nanos now) const;
+    bool isBackedOff(const std::string& address, Nanos now) const;
     // The addresses, those without a back-off first.
     Addresses ranked(const Addresses& preferred, Nanos now) const;
-    // What is to be tried beside the present parent, or in its place.
-    std::optional<std::string> wanted(const Addresses& preferred, Nanos now) const;
-    // Whether it is time for a dial; else the addresses need not be looked up.
-    bool mayDial(Nanos now) const;
-    // The address to dial now, if any; counts as under way until dialEnded().
-    std::optional<std::string> dial(const Addresses& preferred, Nanos now);
-    void dialEnded() { --dialsUnderWay_; }
-    // Time passes during a search. Returns a line for the log where the invariant below is broken.
+    // The address to try beside the present parent, or in its place.
+    std::optional<std::string> nextCandidate(const Addresses& preferred, Nanos now) const;
+    // Whether it is time to dial; if not, the addresses need not be looked up.
+    bool canDial(Nanos now) const;
+    // The address to dial now, if any; the dial counts as open until dialEnded().
+    std::optional<std::string> startDial(const Addresses& preferred, Nanos now);
+    void dialEnded() { --openDials_; }
+    // Advances the clock of a search. Returns a log line where the invariant below is violated.
     std::optional<std::string> tick(const Addresses& preferred, Nanos now);
-    // An agent without a lease has tried every other parent within a time that their number gives.
+    // Invariant: an agent without a lease has tried every other parent within a time that depends on their
+    // number.
     const gossip::Invariant& allTried() const { return allTried_; }
 
 private:
     struct Backoff {
         Nanos until = 0, length = 0;
     };
-    bool better(const std::string& address, const Addresses& preferred) const;
-    std::size_t untried(const Addresses& preferred) const;
+    bool isPreferred(const std::string& address, const Addresses& preferred) const;
+    std::size_t untriedCount(const Addresses& preferred) const;
 
     std::string parent_;
-    Nanos linkedAt_ = 0, grantedAt_ = 0, nextDialAt_ = 0, nextBetterAt_ = 0;
-    int dialsUnderWay_ = 0;
+    Nanos parentSetAt_ = 0, leaseGrantedAt_ = 0, nextDialAt_ = 0, nextBetterAt_ = 0;
+    int openDials_ = 0;
     std::map<std::string, Backoff> backoffs_;
     std::map<std::string, Nanos> triedAt_;  // since the last lease
-    // How long a search has lasted, as ticks saw it pass, over one list of addresses.
+    // For how long a search over the same list of addresses has lasted, counted tick by tick.
     Nanos searchedFor_ = 0, tickedAt_ = 0;
     Addresses searched_;
     gossip::Invariant allTried_{"an agent without a lease tries every parent in time"};
--- a/src/agent/program.cpp
+++ b/src/agent/program.cpp
@@ -15,8 +15,7 @@
 namespace {
 namespace asio = boost::asio;
 using transport::Link;
-// A parent that has not taken a connection by then is out of reach.
-constexpr int dialWithin_ms = 1000;
+constexpr int connectTimeout_ms = 1000;
 
 class Program {
 public:
@@ -27,106 +26,108 @@
           agent_(settings, transport::steadyNow()),
           ticker_(loop_),
           signals_(loop_, SIGTERM, SIGINT, SIGHUP),
-          forAgents_(loop_, at(settings.ip, settings.firstPort),
-                     [this](auto stream) { below(std::move(stream)); }) {
+          agentListener_(loop_, endpoint(settings.ip, settings.firstPort),
+                         [this](auto stream) { acceptChild(std::move(stream)); }) {
         if (!hollow)
-            forProxy_.emplace(loop_, at("127.0.0.1", settings.firstPort + 1),
-                              [this](auto stream) { below(std::move(stream)); });
+            proxyListener_.emplace(loop_, endpoint("127.0.0.1", settings.firstPort + 1),
+                                   [this](auto stream) { acceptChild(std::move(stream)); });
     }
 
     int run() {
-        listen();
+        waitForSignal();
         tick();
         loop_.run();
-        spdlog::info("sent: {}", traffic_.line());
+        spdlog::info("sent: {}", traffic_.summary());
         return 0;
     }
 
 private:
-    static transport::tcp::endpoint at(const std::string& ip, int port) {
+    static transport::tcp::endpoint endpoint(const std::string& ip, int port) {
         return {asio::ip::make_address_v4(ip), static_cast<unsigned short>(port)};
     }
-    void listen() {
+    void waitForSignal() {
         signals_.async_wait([this](boost::system::error_code ec, int signal) {
             if (ec) return;
             if (signal != SIGHUP) {
-                ending_ = transport::steadyNow();
+                shutdownAt_ = transport::steadyNow();
                 return;
             }
             try {
                 settings::read(settingsPath_);
-            } catch (const settings::InvalidSettings& fault) {
-                spdlog::warn("settings kept as they were: {}", fault.what());
+            } catch (const settings::InvalidSettings& error) {
+                spdlog::warn("settings kept as they were: {}", error.what());
             }
-            listen();
+            waitForSignal();
         });
     }
     void tick() {
         const Nanos now = transport::steadyNow();
-        // The proxy beside it may end by the same signal, and needs the news until it has.
-        if (ending_ && (!agent_.feeds() || now - ending_ > millis(settings_.grace_ms - 200)))
+        // The proxy beside this agent may be ended by the same signal, and needs updates until it has
+        // drained.
+        if (shutdownAt_ &&
+            (!agent_.hasChildren() || now - shutdownAt_ > millis(settings_.shutdownGrace_ms - 200)))
             return loop_.stop();
-        if (const auto parent = agent_.dial(now)) dial(*parent);
+        if (const auto address = agent_.nextDial(now)) dial(*address);
         agent_.tick(now);
-        if (traffic_.due(now)) spdlog::info("sent: {}", traffic_.line());
-        carryOut();
+        if (traffic_.reportDue(now)) spdlog::info("sent: {}", traffic_.summary());
+        processOutputs();
         ticker_.expires_after(std::chrono::milliseconds(100));
         ticker_.async_wait([this](boost::system::error_code ec) {
             if (!ec) tick();
         });
     }
-    void dial(const std::string& parent) {
-        auto made = std::make_shared<std::shared_ptr<transport::Stream>>();
-        *made = transport::Stream::to(loop_, at(parent, settings_.firstPort), dialWithin_ms,
-                                      [this, made, parent] {
-                                          const auto stream = *made;
-                                          made->reset();
-                                          const int no = ++lastLink_;
-                                          links_[no] = std::make_shared<Link>(stream);
-                                          start(no, *links_[no]);
-                                          agent_.dialled(no, parent, transport::steadyNow());
-                                          carryOut();
-                                      });
-        (*made)->start([](std::string_view) { return std::size_t(0); },
-                       [this, parent](bool) {
-                           agent_.unreachable(parent, transport::steadyNow());
-                           carryOut();
-                       });
+    void dial(const std::string& address) {
+        auto dialled = std::make_shared<std::shared_ptr<transport::Stream>>();
+        *dialled = transport::Stream::connect(
+            loop_, endpoint(address, settings_.firstPort), connectTimeout_ms, [this, dialled, address] {
+                const auto stream = *dialled;
+                dialled->reset();
+                const int linkId = ++lastLink_;
+                links_[linkId] = std::make_shared<Link>(stream);
+                start(linkId, *links_[linkId]);
+                agent_.dialSucceeded(linkId, address, transport::steadyNow());
+                processOutputs();
+            });
+        (*dialled)->start([](std::string_view) { return std::size_t(0); },
+                          [this, address](bool) {
+                              agent_.dialFailed(address, transport::steadyNow());
+                              processOutputs();
+                          });
     }
-    void below(std::shared_ptr<transport::Stream> stream) {
-        const int no = ++lastLink_;
-        links_[no] = std::make_shared<Link>(std::move(stream));
-        start(no, *links_[no]);
-        agent_.linkUp(no, transport::steadyNow());
-        carryOut();
+    void acceptChild(std::shared_ptr<transport::Stream> stream) {
+        const int linkId = ++lastLink_;
+        links_[linkId] = std::make_shared<Link>(std::move(stream));
+        start(linkId, *links_[linkId]);
+        agent_.childConnected(linkId, transport::steadyNow());
+        processOutputs();
     }
-    void start(int no, Link& link) {
+    void start(int linkId, Link& link) {
         link.start(
-            [this, no](const nlohmann::json& message) {
-                agent_.heard(no, message, transport::steadyNow());
-                carryOut();
+            [this, linkId](const nlohmann::json& message) {
+                agent_.receive(linkId, message, transport::steadyNow());
+                processOutputs();
             },
-            [this, no] {
-                links_.erase(no);
-                agent_.linkDown(no, transport::steadyNow());
-                carryOut();
+            [this, linkId] {
+                links_.erase(linkId);
+                agent_.linkClosed(linkId, transport::steadyNow());
+                processOutputs();
             });
     }
-    void carryOut() {
-        for (const std::string& line : agent_.takeLines()) spdlog::info("{}", line);
-        for (auto said = agent_.take(); !said.empty(); said = agent_.take())
-            for (auto& [no, message] : said) {
-                const auto at = links_.find(no);
-                if (at != links_.end()) traffic_.sent(message.at("k"), at->second->send(message));
+    void processOutputs() {
+        for (const std::string& line : agent_.takeLogLines()) spdlog::info("{}", line);
+        for (auto outgoing = agent_.takeOutgoing(); !outgoing.empty(); outgoing = agent_.takeOutgoing())
+            for (auto& [linkId, message] : outgoing) {
+                const auto it = links_.find(linkId);
+                if (it != links_.end()) traffic_.count(message.at("k"), it->second->send(message));
             }
-        for (const int no : agent_.takeClosed()) close(no);
+        for (const int linkId : agent_.takeLinksToClose()) close(linkId);
     }
-    // Not here and now: it may be the link whose message is being handled.
-    void close(int no) {
-        const auto at = links_.find(no);
-        if (at == links_.end()) return;
-        asio::post(loop_, [link = std::move(at->second)] {});
-        links_.erase(at);
+    // The link is destroyed later, as it may be the one whose message is being handled.
+    void close(int linkId) {
+        const auto it = links_.find(linkId);
+        if (it == links_.end()) return;
+        asio::post(loop_, [link = std::move(it->second)] {});
+        links_.erase(it);
     }
 
     const settings::Settings settings_;
@@ -136,11 +137,11 @@
     asio::steady_timer ticker_;
     asio::signal_set signals_;
     std::map<int, std::shared_ptr<Link>> links_;
-    transport::Traffic traffic_;
+    transport::TrafficCounters traffic_;
     int lastLink_ = 0;
-    Nanos ending_ = 0;
-    transport::Listener forAgents_;
-    std::optional<transport::Listener> forProxy_;
+    Nanos shutdownAt_ = 0;  // 0: not shutting down
+    transport::Listener agentListener_;
+    std::optional<transport::Listener> proxyListener_;
 };
 }  // namespace
 
--- a/src/asio.cpp
+++ b/src/asio.cpp
@@ -1,2 +1,2 @@
-// Asio's own bodies, compiled here and nowhere else.
+// Compiles the implementation of Asio, which is used as a separately compiled library.
 #include <boost/asio/impl/src.hpp>
--- a/src/configuration/configuration.cpp
+++ b/src/configuration/configuration.cpp
@@ -12,8 +12,8 @@
 namespace {
 using nlohmann::json;
 
-// Fields that are not named here are passed over: operators' tools add their own.
-const char* const form = R"({
+// Fields that are not named here are ignored: operators' tools add their own.
+const char* const schemaText = R"({
   "type": "object",
   "required": ["edition", "itineraries", "depots"],
   "properties": {
@@ -43,91 +43,95 @@
       "tx_idle_ms": {"type": "number", "minimum": 0}}}}})";
 
 const valijson::Schema& schema() {
-    static const auto made = [] {
+    static const auto parsedSchema = [] {
         auto parsed = std::make_unique<valijson::Schema>();
-        const json text = json::parse(form);
-        valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(text), *parsed);
+        const json document = json::parse(schemaText);
+        valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(document), *parsed);
         return parsed;
     }();
-    return *made;
+    return *parsedSchema;
 }
 
-std::int64_t whole(const json& in, const char* field, std::int64_t otherwise) {
-    const auto at = in.find(field);
-    return at == in.end() ? otherwise : static_cast<std::int64_t>(at->get<double>());
+std::int64_t integerOr(const json& object, const char* field, std::int64_t fallback) {
+    const auto it = object.find(field);
+    return it == object.end() ? fallback : static_cast<std::int64_t>(it->get<double>());
 }
 }  // namespace
 
-Configuration read(const json& body) {
+Configuration parse(const json& body) {
     valijson::Validator validator;
-    valijson::ValidationResults faults;
-    if (!validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(body), &faults)) {
-        valijson::ValidationResults::Error fault;
+    valijson::ValidationResults errors;
+    if (!validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(body), &errors)) {
+        valijson::ValidationResults::Error error;
         std::string text = "not of the form";
-        // Told of each level that holds it: the innermost says where it is.
-        for (std::size_t depth = 0; faults.popError(fault);) {
-            if (fault.context.size() < depth) continue;
-            depth = fault.context.size();
+        // Reported once for each enclosing level: the innermost one gives the place of the error.
+        for (std::size_t depth = 0; errors.popError(error);) {
+            if (error.context.size() < depth) continue;
+            depth = error.context.size();
             text.clear();
-            for (const std::string& step : fault.context) text += step;
-            text += ": " + fault.description;
+            for (const std::string& segment : error.context) text += segment;
+            text += ": " + error.description;
         }
-        throw Invalid(text);
+        throw InvalidConfiguration(text);
     }
-    Configuration w;
-    w.edition = body.at("edition").get<std::uint64_t>();
+    Configuration configuration;
+    configuration.edition = body.at("edition").get<std::uint64_t>();
     std::set<std::string> services;
     for (const json& each : body.at("depots")) {
-        Service service{each.at("label"), static_cast<int>(whole(each, "berth_cap", 0)),
-                        static_cast<int>(whole(each, "sync_replicas", 0))};
+        Service service{each.at("label"), static_cast<int>(integerOr(each, "berth_cap", 0)),
+                        static_cast<int>(integerOr(each, "sync_replicas", 0))};
         if (!services.insert(service.name).second)
-            throw Invalid("depots: '" + service.name + "' stands twice");
-        w.services.push_back(std::move(service));
+            throw InvalidConfiguration("depots: '" + service.name + "' stands twice");
+        configuration.services.push_back(std::move(service));
     }
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> hostnamesAndPaths;
     for (const json& each : body.at("itineraries")) {
         Route route;
         route.label = each.value("label", "");
         route.database = each.at("hostname");
         route.service = each.at("depot");
-        route.deadline_ms = whole(each, "deadline_ms", 0);
-        route.target_ms = whole(each, "target_ms", route.deadline_ms / 4);
-        route.staleness_ms = whole(each, "staleness_ms", 0);
-        route.precedence = static_cast<int>(whole(each, "precedence", 0));
-        route.tries = static_cast<int>(whole(each, "tries", 1));
+        route.deadline_ms = integerOr(each, "deadline_ms", 0);
+        route.target_ms = integerOr(each, "target_ms", route.deadline_ms / 4);
+        route.staleness_ms = integerOr(each, "staleness_ms", 0);
+        route.precedence = static_cast<int>(integerOr(each, "precedence", 0));
+        route.tries = static_cast<int>(integerOr(each, "tries", 1));
         const std::string mode = each.value("mode", "head_office");
-        route.mode = mode == "own" ? Mode::own : mode == "age_bounded" ? Mode::ageBounded : Mode::headOffice;
-        const std::string place = "itineraries: '" + route.label + "' ('" + route.database + "')";
+        route.mode = mode == "own"           ? ReadMode::ownWrites
+                     : mode == "age_bounded" ? ReadMode::boundedStaleness
+                                             : ReadMode::primary;
+        const std::string description = "itineraries: '" + route.label + "' ('" + route.database + "')";
         if (!services.count(route.service))
-            throw Invalid(place + " names an unknown depot '" + route.service + "'");
-        if (!places.insert({route.database, each.value("path_prefix", "/")}).second)
-            throw Invalid(place + " shares hostname and path_prefix with another");
-        w.routes.push_back(std::move(route));
+            throw InvalidConfiguration(description + " names an unknown depot '" + route.service + "'");
+        if (!hostnamesAndPaths.insert({route.database, each.value("path_prefix", "/")}).second)
+            throw InvalidConfiguration(description + " shares hostname and path_prefix with another");
+        configuration.routes.push_back(std::move(route));
     }
     if (const auto limits = body.find("limits"); limits != body.end())
-        w.txIdle_ms = whole(*limits, "tx_idle_ms", 0);
-    std::sort(w.routes.begin(), w.routes.end(), [](auto& a, auto& b) { return a.database < b.database; });
-    return w;
+        configuration.transactionIdleTimeout_ms = integerOr(*limits, "tx_idle_ms", 0);
+    std::sort(configuration.routes.begin(), configuration.routes.end(),
+              [](auto& left, auto& right) { return left.database < right.database; });
+    return configuration;
 }
 
-Configuration read(const std::string& text) {
+Configuration parse(const std::string& text) {
     json body;
     try {
         body = json::parse(text);
-    } catch (const json::parse_error& fault) {
-        throw Invalid("not JSON, at byte " + std::to_string(fault.byte));
+    } catch (const json::parse_error& error) {
+        throw InvalidConfiguration("not JSON, at byte " + std::to_string(error.byte));
     }
     try {
-        return read(body);
-    } catch (const json::exception& fault) {
-        throw Invalid(fault.what());
+        return parse(body);
+    } catch (const json::exception& error) {
+        throw InvalidConfiguration(error.what());
     }
 }
 
 const Route* Configuration::route(const std::string& database) const {
-    const auto at = std::lower_bound(routes.begin(), routes.end(), database,
-                                     [](const Route& r, const std::string& d) { return r.database < d; });
-    return at != routes.end() && at->database == database ? &*at : nullptr;
+    const auto it =
+        std::lower_bound(routes.begin(), routes.end(), database,
+                         [](const Route& route, const std::string& name) { return route.database < name; });
+    return it != routes.end() && it->database == database ? &*it : nullptr;
 }
 
 const Service* Configuration::service(const std::string& name) const {
--- a/src/configuration/configuration.hpp
+++ b/src/configuration/configuration.hpp
@@ -1,5 +1,5 @@
-// The operator's configuration: read from JSON, checked by a schema and then across its parts. Whole or not
-// at all.
+// The operator's configuration: read from JSON, validated against a schema and then for consistency between
+// its parts. An invalid configuration is rejected as a whole.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,21 @@
 
 namespace granitereel::configuration {
 
-// Why a configuration is refused, with the place of the fault.
-struct Invalid : std::runtime_error {
+// Why a configuration is rejected, with the place of the error.
+struct InvalidConfiguration : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Which commits a read has to see.
-enum class Mode { headOffice, ageBounded, own };
+// Which commits a read must see.
+enum class ReadMode {
+    primary,           // all: reads are served by the primary
+    boundedStaleness,  // all that are older than Route::staleness_ms
+    ownWrites          // those of its own session
+};
 
 struct Route {
     std::string label, database, service;
-    Mode mode = Mode::headOffice;
+    ReadMode mode = ReadMode::primary;
     std::int64_t deadline_ms = 1000, target_ms = 0, staleness_ms = 0;
     int precedence = 0, tries = 1;
     bool operator==(const Route&) const = default;
@@ -28,22 +32,22 @@
 
 struct Service {
     std::string name;
-    int berthCap = 0;  // connections of all callers at one store; 0: not bounded
+    int connectionLimit = 0;  // connections of all callers to one store; 0: unlimited
     int syncReplicas = 0;
 };
 
 struct Configuration {
     std::uint64_t edition = 0;
-    std::vector<Route> routes;
+    std::vector<Route> routes;  // ordered by database
     std::vector<Service> services;
-    std::int64_t txIdle_ms = 0;  // 0: never ended for resting
+    std::int64_t transactionIdleTimeout_ms = 0;  // 0: none
 
     const Route* route(const std::string& database) const;
     const Service* service(const std::string& name) const;
 };
 
-// Throws Invalid.
-Configuration read(const std::string& text);
-Configuration read(const nlohmann::json& body);
+// Throws InvalidConfiguration.
+Configuration parse(const std::string& text);
+Configuration parse(const nlohmann::json& body);
 
 }  // namespace granitereel::configuration
--- a/src/control/call_router.cpp
+++ b/src/control/call_router.cpp
@@ -50,9 +50,9 @@
 void CallRouter::configSent(std::uint64_t call, const std::string& body, Nanos now) {
     Json sent;
     try {
-        configuration::read(body);
+        configuration::parse(body);
         sent = Json::parse(body);
-    } catch (const configuration::Invalid& fault) {
+    } catch (const configuration::InvalidConfiguration& fault) {
         return answer(call, Kind::notSound, Json{{"fault", fault.what()}}.dump());
     }
     if (means_.diskRefuses()) return answer(call, Kind::unready);
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -20,7 +20,8 @@
 ProposerId proposerOf(const settings::Settings& settings, const std::string& incarnation,
                       const std::map<std::string, Json>& disk) {
     const auto life = disk.find(lifeKey);
-    return {settings.controlAddress, incarnation, life == disk.end() ? 0 : life->second.get<std::uint64_t>()};
+    return {settings.controlListenAddress, incarnation,
+            life == disk.end() ? 0 : life->second.get<std::uint64_t>()};
 }
 
 // A span told in microseconds; 0 where it is not.
@@ -32,7 +33,7 @@
 ControlMember::ControlMember(const settings::Settings& settings, std::string incarnation,
                              const std::map<std::string, Json>& disk, Nanos now)
     : settings_(settings),
-      self_(settings.controlAddress),
+      self_(settings.controlListenAddress),
       incarnation_(std::move(incarnation)),
       gossip_([this](int link, Json message) { send(link, std::move(message)); },
               [this](const std::string& name, const gossip::Record& record) { news(name, record); }),
@@ -43,7 +44,7 @@
       recovery_(now + forgottenAfter),
       startedAt_(now),
       // Steady time of the start: no link outlives the process, so it need differ only while one is open.
-      stores_(self_, self_ + "/" + std::to_string(now), settings.beatInterval_ms, *this, now),
+      stores_(self_, self_ + "/" + std::to_string(now), settings.heartbeatInterval_ms, *this, now),
       operatorCalls_(*this),
       calls_(*this, stores_, operatorCalls_) {
     for (const auto& [name, body] : disk) {
@@ -99,7 +100,7 @@
     peers_[link].dialled = dialled;
     if (dialled.empty()) return;  // who comes speaks first
     send(link, Hello{Hello::fromMember, self_, settings_.station, "", incarnation_, {}}.toJson());
-    gossip_.join(link, gossip::Side::dialler, dialled);
+    gossip_.addLink(link, gossip::Side::dialler, dialled);
     proposer_.reached(dialled);
     flushProposer(now_);
 }
@@ -110,14 +111,14 @@
     const std::string dialled = at->second.dialled;
     if (linkTo(dialled) == link) calls_.contacts().lost(dialled);
     peers_.erase(at);
-    gossip_.leave(link);
+    gossip_.removeLink(link);
     if (dialled.empty()) return;
     memberHeard_[dialled] = now;
     if (!linkTo(dialled)) proposer_.lost(dialled);
 }
 
 void ControlMember::news(const std::string& name, const gossip::Record& record) {
-    if (name == "config") configuration_ = configuration::read(record.body);
+    if (name == "config") configuration_ = configuration::parse(record.body);
     if (name == "core")
         adopt({record.body.at("epoch").get<std::uint64_t>(),
                record.body.at("voters").get<std::set<std::string>>()});
@@ -135,7 +136,7 @@
 }  // namespace
 
 bool ControlMember::said(const std::string& name, const Json& value) const {
-    const gossip::Record* record = board().find(name);
+    const gossip::Record* record = recordTable().find(name);
     return record && record->version >= versionOf(name, value);
 }
 
@@ -168,7 +169,7 @@
 void ControlMember::heard(int link, const Json& message, Nanos now) {
     now_ = now;
     gossip_.advance(now, leased(now));
-    gossip_.alive(link);
+    gossip_.noteActivity(link);
     take(link, message, now);
     if (membership_.changing(now)) membership_.tick(votes(), now);
     calls_.serveWaiting(now);
@@ -186,9 +187,9 @@
         membership_.heard(member, now);
     if (kind == Hello::kind) {
         greeted(link, peer, Hello::fromJson(message), now);
-    } else if (gossip::isGossip(kind)) {
-        gossip_.heard(link, message);
-        if (!peer.dialled.empty() && gossip_.complete(link)) stores_.boardHeardFrom(peer.dialled);
+    } else if (gossip::isGossipMessage(kind)) {
+        gossip_.receive(link, message);
+        if (!peer.dialled.empty() && gossip_.isComplete(link)) stores_.boardHeardFrom(peer.dialled);
     } else if (kind == StoreRecordReplicate::kind) {
         if (const auto reply = stores_.hold(StoreRecordReplicate::fromJson(message), now))
             send(link, reply->toJson());
@@ -207,8 +208,8 @@
     } else if (kind == gossip::LeaseRequest::kind) {
         const std::uint64_t number = gossip::LeaseRequest::fromJson(message).number;
         const Nanos left = std::max<Nanos>(0, lease_.until() - now);
-        send(link, gossip::LeaseReply{number, left, unsettledLeads_.all(board(), now),
-                                      gossip::configurationVersion(board())}
+        send(link, gossip::LeaseReply{number, left, unsettledLeads_.all(recordTable(), now),
+                                      gossip::configurationVersion(recordTable())}
                        .toJson());
     } else if (kind == "suspect") {
         suspected(message, now);
@@ -246,7 +247,7 @@
     }
     const std::string& district = settings_.district;
     send(link, Hello{Hello::fromMember, self_, settings_.station, district, incarnation_, core_}.toJson());
-    gossip_.join(link, gossip::Side::acceptor, peer.member);
+    gossip_.addLink(link, gossip::Side::acceptor, peer.member);
 }
 
 // A member asks for its lease.
@@ -254,8 +255,8 @@
     const LeaseQuestion question = LeaseQuestion::fromJson(message);
     if (!peer.member.empty()) calls_.contacts().heard(peer.member, micros(message, "lease_left_us"), now);
     if (votes() && question.epoch == core_.epoch) {
-        const LeaseAnswer told{question.round, question.epoch, unsettledLeads_.own(board()),
-                               gossip::configurationVersion(board())};
+        const LeaseAnswer told{question.round, question.epoch, unsettledLeads_.own(recordTable()),
+                               gossip::configurationVersion(recordTable())};
         send(link, withLeaseLeft(told.toJson()));
     }
     // Who was cut off during a change of voters is told of it.
@@ -267,11 +268,11 @@
     const LeaseAnswer told = LeaseAnswer::fromJson(message);
     unsettledLeads_.told(told.unsettled, now);
     // Before the exchange on this link is complete the voter may know of a change that this member doesn't.
-    if (!gossip_.complete(link)) return;
-    if (const std::uint64_t held = gossip::configurationVersion(board()); held < told.configuration) {
+    if (!gossip_.isComplete(link)) return;
+    if (const std::uint64_t held = gossip::configurationVersion(recordTable()); held < told.configuration) {
         reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and " + peer.dialled +
                                            " holds " + std::to_string(told.configuration));
-        return gossip_.exchangeAnew(link);
+        return gossip_.restartExchange(link);
     }
     lease_.answered(peer.dialled, told, core_);
 }
@@ -376,7 +377,7 @@
 }
 
 bool ControlMember::disqualified(const std::string& voter) const {
-    const gossip::Record* record = board().find("member/" + voter);
+    const gossip::Record* record = recordTable().find("member/" + voter);
     return record && record->body.is_object() && record->body.value("disk_unwell", false);
 }
 
@@ -497,7 +498,7 @@
 void ControlMember::leave(Nanos now) {
     now_ = now;
     if (departure_.begun()) return;
-    departure_.begin(millis(settings_.grace_ms / leavingPartOfGrace), now);
+    departure_.begin(millis(settings_.shutdownGrace_ms / leavingPartOfGrace), now);
     outputs_.push_back(ToLog{"told to end: handing over"});
     ownRecord();
     ownDuties(now);
@@ -522,13 +523,13 @@
     if (departure_.begun()) body["leaving"] = true;
     if (recovering_) body["recovering"] = true;
     if (!diskWatch_.ownsDuties(now_)) body["disk_unwell"] = true;
-    gossip_.own("member/" + self_, body);
+    gossip_.publish("member/" + self_, body);
 }
 
 void ControlMember::tick(Nanos now) {
     now_ = now;
     gossip_.advance(now, leased(now));
-    if (auto line = contact_.seen(lease_.until(), now)) outputs_.push_back(ToLog{std::move(*line)});
+    if (auto line = contact_.update(lease_.until(), now)) outputs_.push_back(ToLog{std::move(*line)});
     ownRecord();
     rounds(now);
     stores_.tick(now);
@@ -547,10 +548,10 @@
 // Takes down records whose owners died without a word. Two members that do so at once make the same record.
 void ControlMember::endOverdue(Nanos now) {
     if (!leased(now)) return;
-    for (const std::string& name : gossip_.overdue()) {
+    for (const std::string& name : gossip_.overdueRecords()) {
         const bool voter = name.starts_with("member/") && core_.voters.count(name.substr(7));
         if (voter) continue;
-        const std::uint64_t major = board().find(name)->version.major;
+        const std::uint64_t major = recordTable().find(name)->version.major;
         outputs_.push_back(ToLog{name + " was not renewed in time: taken down"});
         gossip_.put(name, {{major + 1, 0}, nullptr});
     }
@@ -559,10 +560,10 @@
 Json ControlMember::state(Nanos now) const {
     Json leads = Json::object();
     for (const auto& [service, succession] : successions_) leads[service] = {{"phase", succession->phase()}};
-    board().under("lead/", [&](const std::string& name, const gossip::Record& r) {
+    recordTable().forEachWithPrefix("lead/", [&](const std::string& name, const gossip::Record& r) {
         leads[name.substr(5)]["lead"] = r.body;
     });
-    const gossip::Record* config = board().find("config");
+    const gossip::Record* config = recordTable().find("config");
     return {{"member", self_},
             {"station", settings_.station},
             {"epoch", core_.epoch},
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -87,11 +87,11 @@
                 std::function<void(std::optional<Lead>)> done) override;
     void confirm(const std::string& service, const Lead& expected,
                  std::function<void(Confirmation, Nanos now)> done) override;
-    const gossip::Board& board() const override { return gossip_.board(); }
+    const gossip::RecordTable& recordTable() const override { return gossip_.recordTable(); }
     int syncReplicas(const std::string& service) const override;
 
     void putRecord(const std::string& name, gossip::Record record) override;
-    bool unconfirmed(const std::string& name) const override { return gossip_.unconfirmed(name); }
+    bool unconfirmed(const std::string& name) const override { return gossip_.isUnconfirmed(name); }
     void sendTo(const std::string& voter, Json message) override;
     const Core& core() const override { return core_; }
     void answerStore(std::uint64_t call, Kind kind) override {
@@ -154,7 +154,7 @@
     const settings::Settings settings_;
     const std::string self_, incarnation_;
     Outputs outputs_;
-    gossip::Gossip gossip_;
+    gossip::RecordReplicator gossip_;
     Acceptor acceptor_;
     Proposer proposer_;
     Core core_;
@@ -170,8 +170,8 @@
     std::map<std::string, Nanos> memberHeard_;
     UnsettledLeads unsettledLeads_;
     LeaseRounds lease_;
-    gossip::ContactWatch contact_;
-    gossip::Invariant newsBeforeLease_{gossip::newsBeforeLease};
+    gossip::ControlContactMonitor contact_;
+    gossip::Invariant newsBeforeLease_{gossip::configurationBeforeLease};
     std::map<std::string, std::unique_ptr<Succession>> successions_;
     std::map<std::uint64_t, Succession*> asks_;
     std::uint64_t nextAsk_ = 1;
--- a/src/control/member_duties.cpp
+++ b/src/control/member_duties.cpp
@@ -100,7 +100,7 @@
 
 // Each service's duty belongs to the voter with the highest value for its name among those in reach.
 void ControlMember::ownDuties(Nanos now) {
-    if (!settings_.promotes) return;
+    if (!settings_.promotionsEnabled) return;
     std::vector<std::string> here;
     for (const std::string& voter : core_.voters) {
         if (membership_.leaves(voter)) continue;
@@ -109,13 +109,13 @@
             here.push_back(voter);
     }
     const bool majority = here.size() >= core_.majority() && now < lease_.until();
-    board().under("store/", [&](const std::string&, const gossip::Record& record) {
+    recordTable().forEachWithPrefix("store/", [&](const std::string&, const gossip::Record& record) {
         if (!record.body.is_object()) return;
         auto& slot = successions_[record.body.at("service").get<std::string>()];
         if (!slot)
             slot = std::make_unique<Succession>(
                 self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
-                PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
+                PlatformGuarantees{settings_.platformChecksFencingToken, millis(settings_.lease_ms)});
     });
     std::erase_if(here, [this](const std::string& voter) { return disqualified(voter); });
     for (const auto& [service, succession] : successions_) {
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -46,7 +46,7 @@
 Membership::Membership(std::string self, const settings::Settings& settings, Means& means, Nanos now)
     : self_(std::move(self)),
       times_(timesFor(settings.syncIn_ms)),
-      fewestVoters_(fewestVotersFor(settings.tolerance)),
+      fewestVoters_(fewestVotersFor(settings.toleratedMachineLosses)),
       means_(means),
       startedAt_(now) {}
 
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -68,7 +68,7 @@
           listener_(loop_,
                     {asio::ip::make_address_v4(settings.ip), static_cast<unsigned short>(settings.firstPort)},
                     [this](std::shared_ptr<transport::Stream> stream) { linked(std::move(stream), ""); }),
-          http_(loop_, transport::endpointOf(settings.controlAddress), 16 * 1024 * 1024,
+          http_(loop_, transport::endpointOf(settings.controlListenAddress), 16 * 1024 * 1024,
                 [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
                        const std::string& body) {
                     member_.call(call, method, path, body, transport::steadyNow());
@@ -78,9 +78,9 @@
     int run() {
         listen();
         tick();
-        spdlog::info("control serves at {}", settings_.controlAddress);
+        spdlog::info("control serves at {}", settings_.controlListenAddress);
         loop_.run();
-        spdlog::info("sent: {}", traffic_.line());
+        spdlog::info("sent: {}", traffic_.summary());
         if (!writer_.stop(endWithin)) {
             spdlog::warn("ends although the disk hangs");
             spdlog::default_logger()->flush();
@@ -146,7 +146,7 @@
         dial(now);
         member_.diskSeen(diskHealth(now), now);
         member_.tick(now);
-        if (traffic_.due(now)) spdlog::info("sent: {}", traffic_.line());
+        if (traffic_.reportDue(now)) spdlog::info("sent: {}", traffic_.summary());
         carryOut();
         ticker_.expires_after(std::chrono::milliseconds(50));
         ticker_.async_wait([this](boost::system::error_code ec) {
@@ -163,7 +163,7 @@
             where.port(static_cast<unsigned short>(settings_.firstPort));
             auto made = std::make_shared<std::shared_ptr<transport::Stream>>();
             slot.link = -1;
-            *made = transport::Stream::to(loop_, where, 1500, [this, made, member] {
+            *made = transport::Stream::connect(loop_, where, 1500, [this, made, member] {
                 const auto stream = *made;
                 made->reset();
                 linked(stream, member);
@@ -213,7 +213,7 @@
     }
     void carry(ToLink& out) {
         const auto at = links_.find(out.link);
-        if (at != links_.end()) traffic_.sent(out.message.at("k"), at->second->send(out.message));
+        if (at != links_.end()) traffic_.count(out.message.at("k"), at->second->send(out.message));
     }
     void carry(ToSelf& out) { member_.voteStored(out.reply, transport::steadyNow()); }
     void carry(ToDisk& out) {
@@ -222,9 +222,9 @@
     }
     void carry(ToCaller& out) {
         const Reply reply = replyOf(out.kind);
-        http_.answer(out.call, reply.status,
-                     out.body.empty() ? nlohmann::json{{"fault", reply.text}}.dump() : out.body,
-                     out.location);
+        http_.respond(out.call, reply.status,
+                      out.body.empty() ? nlohmann::json{{"fault", reply.text}}.dump() : out.body,
+                      out.location);
     }
     void carry(ToLog& out) { spdlog::info("{}", out.line); }
     void carry(ToStore& out) {
@@ -238,7 +238,7 @@
     }
     void carry(ToPlatform& out) {
         transport::httpCall(
-            loop_, transport::endpointOf(settings_.platform), "POST", "/promotions",
+            loop_, transport::endpointOf(settings_.platformAddress), "POST", "/promotions",
             {{"X-Duty-Holder", settings_.station}, {"X-Fence-Number", std::to_string(out.fence)}},
             nlohmann::json{{"depot", out.service}, {"store_id", out.store}}.dump(), out.within_ms,
             [this, ask = out.ask](int status) {
@@ -268,7 +268,7 @@
     bool leaving_ = false, ending_ = false;
     asio::signal_set signals_;
     std::map<int, std::shared_ptr<Link>> links_;
-    transport::Traffic traffic_;
+    transport::TrafficCounters traffic_;
     std::map<std::string, Dialled> dialled_;
     int lastLink_ = 0;
     transport::Listener listener_;
@@ -277,7 +277,7 @@
 }  // namespace
 
 int serve(const settings::Settings& settings, const std::string& settingsPath) {
-    if (settings.controlAddress.empty())
+    if (settings.controlListenAddress.empty())
         throw settings::InvalidSettings("control needs 'listen_on.control_addr'");
     if (settings.dataPath.empty()) throw settings::InvalidSettings("control needs 'data_path'");
     return Program(settings, settingsPath).run();
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -227,7 +227,7 @@
     for (const auto& [voter, answer] : running.answered) running.promisers[voter] = answer.accepted;
     running.answered.clear();
     running.asked.clear();
-    running.patch = gossip::shorter(running.was, running.value);
+    running.patch = gossip::patchIfSmaller(running.was, running.value);
     askAll(no, running, now);
 }
 
--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -21,7 +21,7 @@
     // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
     // that counts from a lease before and whose clock is slow.
     static constexpr unsigned grownUp = 3;
-    static constexpr Nanos step = (gossip::recordsRestedOnFor + millis(5000)) / grownUp;
+    static constexpr Nanos step = (gossip::recordsUsableAfterLease + millis(5000)) / grownUp;
 
     // What the record says now.
     void note(const YoungReplicas& onRecord, Nanos now);
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -146,7 +146,7 @@
 
 void StoreRegistry::take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
     const std::string name = recordName(said.id);
-    const gossip::Record* known = means_.board().find(name);
+    const gossip::Record* known = means_.recordTable().find(name);
     const Verdict verdict = judge(said, known, now);
     const std::uint64_t major = known ? known->version.major + 1 : 1;
     if (verdict == Verdict::newLife) begin(said, major, now);
@@ -168,14 +168,14 @@
         // Overtaken, or of a new life that can't be told yet: it says again that it leaves.
         return means_.answerStore(call, Kind::unready);
     }
-    confirm({call, said, name, *means_.board().find(name), {}, until, now}, now);
+    confirm({call, said, name, *means_.recordTable().find(name), {}, until, now}, now);
 }
 
 void StoreRegistry::takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now) {
-    const gossip::Record* known = means_.board().find(name);
+    const gossip::Record* known = means_.recordTable().find(name);
     if (known && !known->body.is_null())
         means_.putRecord(name, {{known->version.major + 1, known->version.minor + aboveCalls}, nullptr});
-    known = means_.board().find(name);
+    known = means_.recordTable().find(name);
     // Of a store that is not known here the others are asked.
     confirm({call, std::nullopt, name, known ? *known : gossip::Record(), {}, until, now}, now);
 }
@@ -228,7 +228,7 @@
 std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanos now) {
     if (asked.record.version != gossip::Version()) means_.putRecord(asked.name, asked.record);
     if (!remembers(now)) return std::nullopt;
-    const gossip::Record* stands = means_.board().find(asked.name);
+    const gossip::Record* stands = means_.recordTable().find(asked.name);
     const gossip::Record holds = stands ? *stands : gossip::Record();
     if (holds.version == asked.record.version && holds.body == asked.record.body)
         return StoreRecordHeld{asked.life, asked.number, std::nullopt};
@@ -281,7 +281,7 @@
 void StoreRegistry::forgetUnknown(Nanos now) {
     if (now - forgotAt_ < lateAfter_) return;
     forgotAt_ = now;
-    const auto unknown = [this](const auto& each) { return !means_.board().find(each.first); };
+    const auto unknown = [this](const auto& each) { return !means_.recordTable().find(each.first); };
     std::erase_if(lives_, unknown);
     std::erase_if(confirmed_, unknown);
 }
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -57,7 +57,7 @@
     // What the registry needs of the member it belongs to.
     struct Means {
         virtual ~Means() = default;
-        virtual const gossip::Board& board() const = 0;
+        virtual const gossip::RecordTable& recordTable() const = 0;
         // A record for all; those of a version not above the one that stands change nothing.
         virtual void putRecord(const std::string& name, gossip::Record record) = 0;
         // Whether this record was missed for so long that it may be gone elsewhere (board::Gossip).
--- a/src/control/succession.cpp
+++ b/src/control/succession.cpp
@@ -46,7 +46,7 @@
             return PromotionAnswer::accepted;
         case 409:
             return PromotionAnswer::conflict;
-        case transport::noAnswer:
+        case transport::noResponse:
             return PromotionAnswer::silent;
         case transport::notSent:
             return PromotionAnswer::notSent;
@@ -91,12 +91,12 @@
 }
 
 std::optional<Lead> Succession::known() const {
-    const gossip::Record* record = means_.board().find("lead/" + service_);
+    const gossip::Record* record = means_.recordTable().find("lead/" + service_);
     return record ? readLead(record->body) : std::nullopt;
 }
 
 const Json* Succession::record(const std::string& store) const {
-    const gossip::Record* found = means_.board().find("store/" + store);
+    const gossip::Record* found = means_.recordTable().find("store/" + store);
     return found && found->body.is_object() ? &found->body : nullptr;
 }
 
@@ -107,7 +107,7 @@
 
 std::vector<std::string> Succession::listed() const {
     std::vector<std::string> all;
-    means_.board().under("store/", [&](const std::string& name, const gossip::Record& r) {
+    means_.recordTable().forEachWithPrefix("store/", [&](const std::string& name, const gossip::Record& r) {
         if (r.body.is_object() && r.body.value("service", "") == service_) all.push_back(name.substr(6));
     });
     return all;
--- a/src/control/succession.hpp
+++ b/src/control/succession.hpp
@@ -61,7 +61,7 @@
         // A majority read begun now; `done` is also told the time.
         virtual void confirm(const std::string& service, const Lead& expected,
                              std::function<void(Confirmation, Nanos now)> done) = 0;
-        virtual const gossip::Board& board() const = 0;
+        virtual const gossip::RecordTable& recordTable() const = 0;
         virtual int syncReplicas(const std::string& service) const = 0;
     };
 
--- a/src/control/succession_replicas.cpp
+++ b/src/control/succession_replicas.cpp
@@ -42,7 +42,7 @@
 }
 
 bool Succession::gone(const std::string& store) const {
-    const gossip::Record* found = means_.board().find("store/" + store);
+    const gossip::Record* found = means_.recordTable().find("store/" + store);
     return found && found->body.is_null();
 }
 
@@ -79,7 +79,7 @@
     for (const std::string& store : lead.replicas)
         if (!replicas.count(store) && !lead.young.count(store)) vacated.insert(addressOf(store, lead));
     vacated.erase("");
-    means_.board().under("store/", [&](const std::string&, const gossip::Record& r) {
+    means_.recordTable().forEachWithPrefix("store/", [&](const std::string&, const gossip::Record& r) {
         if (r.body.is_object()) vacated.erase(r.body.value("address", ""));
     });
     while (vacated.size() > vacatedMost) vacated.erase(vacated.begin());
@@ -90,7 +90,7 @@
 void Succession::noteYoung(Nanos now) {
     if (now - notedAt_ < noteAgain) return;
     notedAt_ = now;
-    const gossip::Record* found = means_.board().find("lead/" + service_);
+    const gossip::Record* found = means_.recordTable().find("lead/" + service_);
     const bool any = found && found->body.is_object() && found->body.contains("young");
     ages_.note(any ? found->body["young"].get<YoungReplicas>() : YoungReplicas(), now);
 }
--- a/src/control/unsettled_leads.cpp
+++ b/src/control/unsettled_leads.cpp
@@ -7,8 +7,8 @@
 namespace {
 const std::string leadPrefix = "lead/";
 
-std::uint64_t sequenceOn(const gossip::Board& board, const std::string& service) {
-    const gossip::Record* record = board.find(leadPrefix + service);
+std::uint64_t sequenceOn(const gossip::RecordTable& recordTable, const std::string& service) {
+    const gossip::Record* record = recordTable.find(leadPrefix + service);
     return record ? record->version.major : 0;
 }
 }  // namespace
@@ -32,17 +32,17 @@
     }
 }
 
-LeadMarks UnsettledLeads::own(const gossip::Board& board) const {
+LeadMarks UnsettledLeads::own(const gossip::RecordTable& recordTable) const {
     LeadMarks marks;
     for (const auto& [service, held] : held_)
-        if (!held.steady || held.sequence > sequenceOn(board, service)) marks[service] = held.sequence;
+        if (!held.steady || held.sequence > sequenceOn(recordTable, service)) marks[service] = held.sequence;
     return marks;
 }
 
-LeadMarks UnsettledLeads::all(const gossip::Board& board, Nanos now) const {
-    LeadMarks marks = own(board);
+LeadMarks UnsettledLeads::all(const gossip::RecordTable& recordTable, Nanos now) const {
+    LeadMarks marks = own(recordTable);
     for (const auto& [service, told] : told_) {
-        if (told.until <= now || told.sequence <= sequenceOn(board, service)) continue;
+        if (told.until <= now || told.sequence <= sequenceOn(recordTable, service)) continue;
         std::uint64_t& mark = marks[service];
         mark = std::max(mark, told.sequence);
     }
--- a/src/control/unsettled_leads.hpp
+++ b/src/control/unsettled_leads.hpp
@@ -21,9 +21,9 @@
     void told(const LeadMarks& marks, Nanos now);
 
     // As this member answers a round: accepted here, and unsteady or newer than the board.
-    LeadMarks own(const gossip::Board& board) const;
+    LeadMarks own(const gossip::RecordTable& recordTable) const;
     // As it tells those under its lease: its own and those told.
-    LeadMarks all(const gossip::Board& board, Nanos now) const;
+    LeadMarks all(const gossip::RecordTable& recordTable, Nanos now) const;
 
 private:
     struct Held {
--- a/src/gossip/control_contact_monitor.cpp
+++ b/src/gossip/control_contact_monitor.cpp
@@ -5,32 +5,33 @@
 namespace granitereel::gossip {
 
 namespace {
-constexpr Nanos nanosInMilli = 1'000'000;
+constexpr Nanos nanosecondsPerMillisecond = 1'000'000;
 }  // namespace
 
-std::optional<std::string> ContactWatch::seen(Nanos contactUntil, Nanos now) {
-    if (now < contactUntil) return regained(now);
+std::optional<std::string> ControlContactMonitor::update(Nanos leaseUntil, Nanos now) {
+    if (now < leaseUntil) return contactRestored(now);
     if (!hadContact_) return std::nullopt;
-    if (!lost_) {
-        lost_ = true;
-        lostAt_ = contactUntil;
-        ++figures_.losses;
+    if (!disconnected_) {
+        disconnected_ = true;
+        disconnectedAt_ = leaseUntil;
+        ++statistics_.outages;
         return "contact with control lost";
     }
-    if (told_ || now - lostAt_ < behindAfter) return std::nullopt;
-    told_ = true;
-    ++figures_.longLosses;
-    return "no contact with control for " + std::to_string((now - lostAt_) / nanosInMilli) +
+    if (longOutageReported_ || now - disconnectedAt_ < configurationStaleAfter) return std::nullopt;
+    longOutageReported_ = true;
+    ++statistics_.longOutages;
+    return "no contact with control for " +
+           std::to_string((now - disconnectedAt_) / nanosecondsPerMillisecond) +
            " ms: the configuration may be behind";
 }
 
-std::optional<std::string> ContactWatch::regained(Nanos now) {
+std::optional<std::string> ControlContactMonitor::contactRestored(Nanos now) {
     hadContact_ = true;
-    if (!lost_) return std::nullopt;
-    const Nanos away = now - lostAt_;
-    lost_ = told_ = false;
-    figures_.longest = std::max(figures_.longest, away);
-    return "contact with control again after " + std::to_string(away / nanosInMilli) + " ms";
+    if (!disconnected_) return std::nullopt;
+    const Nanos outage = now - disconnectedAt_;
+    disconnected_ = longOutageReported_ = false;
+    statistics_.longestOutage = std::max(statistics_.longestOutage, outage);
+    return "contact with control again after " + std::to_string(outage / nanosecondsPerMillisecond) + " ms";
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/control_contact_monitor.hpp
+++ b/src/gossip/control_contact_monitor.hpp
@@ -1,6 +1,6 @@
-// How long a process has been out of contact with control, for operators: lines for the log when contact is
-// lost, has been lost for so long that the configuration may be behind, and is back, and the figures behind
-// them. Decides nothing. Free of I/O and clocks.
+// Reports to operators for how long a process has been without contact with control: log lines when contact
+// is lost, when the outage has lasted so long that the configuration may be outdated, and when contact is
+// back; and statistics. Has no influence on what the process does. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,29 @@
 
 namespace granitereel::gossip {
 
-class ContactWatch {
+class ControlContactMonitor {
 public:
-    // Without a lease for longer than this, changes may have come into force elsewhere.
-    static constexpr Nanos behindAfter = millis(2'000);
+    // After this time without a lease, changes of the configuration may be in force elsewhere already.
+    static constexpr Nanos configurationStaleAfter = millis(2'000);
 
-    struct Figures {
-        std::uint64_t losses = 0;      // contact was lost
-        std::uint64_t longLosses = 0;  // for longer than behindAfter
-        Nanos longest = 0;             // the longest that has ended
+    struct Statistics {
+        std::uint64_t outages = 0;
+        std::uint64_t longOutages = 0;  // those longer than configurationStaleAfter
+        Nanos longestOutage = 0;        // of those that have ended
     };
 
-    // `contactUntil`: the end of the lease. To be called often; returns a line where there is news.
-    std::optional<std::string> seen(Nanos contactUntil, Nanos now);
-    // 0 while there is contact, and before the first.
-    Nanos lostFor(Nanos now) const { return lost_ ? now - lostAt_ : 0; }
-    const Figures& figures() const { return figures_; }
+    // `leaseUntil`: the end of the lease. To be called often; returns a log line when the state changed.
+    std::optional<std::string> update(Nanos leaseUntil, Nanos now);
+    // 0 while there is contact, and before the first contact.
+    Nanos disconnectedFor(Nanos now) const { return disconnected_ ? now - disconnectedAt_ : 0; }
+    const Statistics& statistics() const { return statistics_; }
 
 private:
-    std::optional<std::string> regained(Nanos now);
+    std::optional<std::string> contactRestored(Nanos now);
 
-    bool hadContact_ = false, lost_ = false, told_ = false;
-    Nanos lostAt_ = 0;
-    Figures figures_;
+    bool hadContact_ = false, disconnected_ = false, longOutageReported_ = false;
+    Nanos disconnectedAt_ = 0;
+    Statistics statistics_;
 };
 
 }  // namespace granitereel::gossip
--- a/src/gossip/invariant.hpp
+++ b/src/gossip/invariant.hpp
@@ -1,5 +1,5 @@
-// A statement that must hold while a process runs. A violation is counted and told, and the process goes on:
-// what it does about it is the caller's. On in every build.
+// A statement that must hold while a process runs. A violation is counted and logged, and the process goes
+// on; the caller decides what follows from it. Checked in every build.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 public:
     explicit Invariant(std::string statement) : statement_(std::move(statement)) {}
 
-    // Returns a line for the log at the first violation, and at the second, fourth, eighth and so on.
+    // Returns a log line at the first violation, the second, the fourth, the eighth and so on.
     std::optional<std::string> check(bool holds, const std::string& detail);
     std::uint64_t violations() const { return violations_; }
 
--- a/src/gossip/json_diff.hpp
+++ b/src/gossip/json_diff.hpp
@@ -1,6 +1,6 @@
-// The difference between two JSON values as a patch (RFC 6902). Elements of arrays that are objects with a
-// "label" are known by it, so that one put in, taken out or changed in the middle costs that element and not
-// all behind it.
+// The difference between two JSON values as a patch (RFC 6902). Array elements that are objects with a
+// "label" are identified by it, so that inserting, removing or changing one element in the middle costs that
+// element and not all elements behind it.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// was.patch(difference(was, now)) == now.
-Json difference(const Json& was, const Json& now);
+// before.patch(jsonDiff(before, after)) == after.
+Json jsonDiff(const Json& before, const Json& after);
 
 }  // namespace granitereel::gossip
--- a/src/gossip/lease.cpp
+++ b/src/gossip/lease.cpp
@@ -6,28 +6,28 @@
 namespace granitereel::gossip {
 
 namespace {
-// Questions that may be open at once: more than a lease's time holds of them.
-constexpr std::size_t openMost = 8;
-constexpr Nanos nanosInMicro = 1'000;
+// More requests than are sent while a lease lasts.
+constexpr std::size_t maxOpenRequests = 8;
+constexpr Nanos nanosecondsPerMicrosecond = 1'000;
 }  // namespace
 
-std::uint64_t configurationVersion(const Board& board) {
-    const Record* record = board.find("config");
+std::uint64_t configurationVersion(const RecordTable& recordTable) {
+    const Record* record = recordTable.find("config");
     return record ? record->version.major : 0;
 }
 
-std::uint64_t LeaseQuestions::ask(Nanos now) {
-    sentAt_[++last_] = now;
-    if (sentAt_.size() > openMost) sentAt_.erase(sentAt_.begin());
-    return last_;
+std::uint64_t LeaseRequests::start(Nanos now) {
+    sentAt_[++lastNumber_] = now;
+    if (sentAt_.size() > maxOpenRequests) sentAt_.erase(sentAt_.begin());
+    return lastNumber_;
 }
 
-std::optional<Nanos> LeaseQuestions::answered(std::uint64_t number) {
-    const auto at = sentAt_.find(number);
-    if (at == sentAt_.end()) return {};
-    const Nanos sent = at->second;
-    sentAt_.erase(sentAt_.begin(), std::next(at));
-    return sent;
+std::optional<Nanos> LeaseRequests::complete(std::uint64_t number) {
+    const auto it = sentAt_.find(number);
+    if (it == sentAt_.end()) return {};
+    const Nanos sentAt = it->second;
+    sentAt_.erase(sentAt_.begin(), std::next(it));
+    return sentAt;
 }
 
 LeaseRequest LeaseRequest::fromJson(const nlohmann::json& message) {
@@ -37,38 +37,40 @@
 nlohmann::json LeaseReply::toJson() const {
     return {{"k", kind},
             {"t", number},
-            {"left", left / nanosInMicro},
+            {"left", remaining / nanosecondsPerMicrosecond},
             {"c", unsettled},
-            {"edition", configuration}};
+            {"edition", configurationVersion}};
 }
 
 LeaseReply LeaseReply::fromJson(const nlohmann::json& message) {
     LeaseReply reply;
     reply.number = message.at("t").get<std::uint64_t>();
-    reply.left = message.at("left").get<std::int64_t>() * nanosInMicro;
+    reply.remaining = message.at("left").get<std::int64_t>() * nanosecondsPerMicrosecond;
     reply.unsettled = message.at("c").get<std::map<std::string, std::uint64_t>>();
-    reply.configuration = message.value("edition", std::uint64_t(0));
+    reply.configurationVersion = message.value("edition", std::uint64_t(0));
     return reply;
 }
 
-void HeldLease::granted(Nanos asked, const LeaseReply& reply, bool counts) {
-    // Counted from the question, which is before the grant.
-    const Nanos until = counts && reply.left > 0 ? asked + reply.left : 0;
+void HeldLease::applyReply(Nanos requestedAt, const LeaseReply& reply, bool complete) {
+    // Counted from the request, which was sent before the grant: the lease ends here no later than it ends at
+    // the grantor, however long the reply took.
+    const Nanos until = complete && reply.remaining > 0 ? requestedAt + reply.remaining : 0;
     if (until > until_) {
         until_ = until;
         unsettled_ = reply.unsettled;
         return;
     }
-    // The longer lease stays, with its own list; what else is in doubt is added, as caution harms nobody.
+    // The longer lease stays, together with its own list. Further unsettled services are added: doubting one
+    // too many is safe.
     for (const auto& [service, sequence] : reply.unsettled) {
         auto& known = unsettled_[service];
         known = std::max(known, sequence);
     }
 }
 
-bool HeldLease::settles(const std::string& service, std::uint64_t sequence) const {
-    const auto at = unsettled_.find(service);
-    return at == unsettled_.end() || at->second <= sequence;
+bool HeldLease::isSettled(const std::string& service, std::uint64_t sequence) const {
+    const auto it = unsettled_.find(service);
+    return it == unsettled_.end() || it->second <= sequence;
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/lease.hpp
+++ b/src/gossip/lease.hpp
@@ -1,5 +1,6 @@
-// The lease under which leads may be read plainly, as those hold it who got it from a process nearer to the
-// core: the agent from its parent, the proxy from its agent. Free of I/O and clocks.
+// The lease under which the records of primaries may be trusted as they stand in the record table, without
+// asking the voters; as it is held by a process that got it from one nearer to the voters: an agent from its
+// parent, a proxy from its agent. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,18 @@
 
 namespace granitereel::gossip {
 
-// For so long behind the end of its last lease a process may rest on what the records named then, where
-// control makes up for what they lack since (docs/control-safety/promotion.md).
-constexpr Nanos recordsRestedOnFor = millis(20'000);
+// For how long after the end of its last lease a process may rely on what the records named then. Control
+// makes up for the changes that they lack since (docs/control-safety/promotion.md).
+constexpr Nanos recordsUsableAfterLease = millis(20'000);
 
-// The version of the configuration on a board; 0: none.
-std::uint64_t configurationVersion(const Board& board);
+// The version of the configuration in a record table; 0: none.
+std::uint64_t configurationVersion(const RecordTable& recordTable);
 
-// What a receiver of leases checks at each one that counts.
-constexpr const char* newsBeforeLease = "who gives a lease has told its configuration before";
+// The invariant that the receiver of a lease checks at each one that it accepts: the grantor's configuration
+// must have arrived before. Otherwise a process would serve under a valid lease by an outdated configuration.
+constexpr const char* configurationBeforeLease = "the grantor's configuration arrives before its lease";
 
-// The question for the lease, from a process further from the core to one nearer to it.
+// Sent by a process further from the voters to one nearer to them.
 struct LeaseRequest {
     static constexpr const char* kind = "lease?";
     std::uint64_t number = 0;
@@ -31,49 +33,55 @@
     static LeaseRequest fromJson(const nlohmann::json& message);  // throws nlohmann::json::exception
 };
 
-// What is left of the giver's lease, counted from when the question was sent, and what it knows to be
-// unsettled: the sequence number from which a service's record is proof of its lead again, by service.
+// What remains of the grantor's lease, counted from when the request was sent, and the services whose primary
+// may be changing.
 struct LeaseReply {
     static constexpr const char* kind = "lease";
     std::uint64_t number = 0;
-    Nanos left = 0;  // in whole microseconds on the wire; 0 or less: none
+    Nanos remaining = 0;  // in whole microseconds on the wire; 0 or less: no lease
+    // For each service whose primary is unsettled: the sequence number from which on the service's record
+    // proves the primary again.
     std::map<std::string, std::uint64_t> unsettled;
-    // The version of the configuration that the giver held when it answered; 0: none. Who is complete towards
-    // the giver holds it or a later one.
-    std::uint64_t configuration = 0;
+    // The version of the configuration that the grantor held when it replied; 0: none. A receiver whose
+    // exchange with the grantor is complete holds this version or a later one.
+    std::uint64_t configurationVersion = 0;
     nlohmann::json toJson() const;
     static LeaseReply fromJson(const nlohmann::json& message);  // throws nlohmann::json::exception
 };
 
-// Questions for the lease that are out on one link. An answer counts once, for its own question, and closes
-// all earlier ones. Numbers go on over links, so that no answer of an earlier link matches.
-class LeaseQuestions {
+// The open lease requests on one link. A reply counts once, for its own request, and closes all earlier ones.
+// Numbers keep growing across links: a late reply from an earlier link must match no request, or its lease
+// would be counted from too late a time.
+class LeaseRequests {
 public:
-    // The number of a question that is sent at `now`.
-    std::uint64_t ask(Nanos now);
-    // When the question was sent; none: it is not open.
-    std::optional<Nanos> answered(std::uint64_t number);
-    // The link is gone or another: no answer is awaited any more.
-    void forget() { sentAt_.clear(); }
+    // Returns the number of a request that is sent at `now`.
+    std::uint64_t start(Nanos now);
+    // Returns when the request was sent; nullopt: it is not open.
+    std::optional<Nanos> complete(std::uint64_t number);
+    // The link is gone or was replaced: no reply is expected any more.
+    void clear() { sentAt_.clear(); }
 
 private:
-    std::uint64_t last_ = 0;
+    std::uint64_t lastNumber_ = 0;
     std::map<std::uint64_t, Nanos> sentAt_;
 };
 
-// A lease and the services whose lead was known to be changing when it was given belong together: the voters
-// of its round answered with them. So the time of one grant is never used with the list of another.
+// A lease together with the services whose primary was known to be unsettled when it was granted: the voters
+// of one round answered both. The time of one grant is never combined with the list of another: otherwise the
+// holder could trust, under the longer lease, a primary that the voters of that lease had reported as
+// unsettled.
 class HeldLease {
 public:
-    // The answer to a question sent at `asked`. `counts`: whether all is here that the giver held; else what
-    // it says of unsettled leads is added, and its time does not count.
-    void granted(Nanos asked, const LeaseReply& reply, bool counts);
+    // Applies the reply to a request that was sent at `requestedAt`. `complete`: whether this process holds
+    // all records that the grantor held; otherwise the reply's unsettled services are added, and its time
+    // does not count.
+    void applyReply(Nanos requestedAt, const LeaseReply& reply, bool complete);
     bool valid(Nanos now) const { return now < until_; }
-    // Nanoseconds, at least 0.
-    Nanos left(Nanos now) const { return until_ > now ? until_ - now : 0; }
+    // At least 0.
+    Nanos remaining(Nanos now) const { return until_ > now ? until_ - now : 0; }
     Nanos until() const { return until_; }
-    // Whether the record of a service's lead with this sequence number is no longer in doubt.
-    bool settles(const std::string& service, std::uint64_t sequence) const;
+    // Whether a record of the service's primary with this sequence number is proof of the primary.
+    bool isSettled(const std::string& service, std::uint64_t sequence) const;
     const std::map<std::string, std::uint64_t>& unsettled() const { return unsettled_; }
 
 private:
--- a/src/gossip/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -5,7 +5,7 @@
 namespace granitereel::gossip {
 
 namespace {
-constexpr std::size_t hexDigits = 16;
+constexpr std::size_t hexDigitsPerHash = 16;
 
 Json versionToJson(const Version& version) {
     return {version.major, version.minor};
@@ -15,36 +15,36 @@
     return {message.at(0).get<std::uint64_t>(), message.at(1).get<std::uint64_t>()};
 }
 
-Json heldToJson(const std::vector<HeldVersion>& all) {
+Json heldToJson(const std::vector<HeldVersion>& held) {
     Json list = Json::array();
-    for (const HeldVersion& each : all) list.push_back({each.name, each.version.major, each.version.minor});
+    for (const HeldVersion& each : held) list.push_back({each.name, each.version.major, each.version.minor});
     return list;
 }
 
 std::vector<HeldVersion> heldFromJson(const Json& list) {
-    std::vector<HeldVersion> all;
+    std::vector<HeldVersion> held;
     for (const Json& each : list)
-        all.push_back({each.at(0).get<std::string>(),
-                       {each.at(1).get<std::uint64_t>(), each.at(2).get<std::uint64_t>()}});
-    return all;
+        held.push_back({each.at(0).get<std::string>(),
+                        {each.at(1).get<std::uint64_t>(), each.at(2).get<std::uint64_t>()}});
+    return held;
 }
 
-// Hashes as one string of hexadecimal digits, sixteen each: shorter than a list of numbers.
+// All hashes as one string of hexadecimal digits, sixteen each: shorter than a list of numbers.
 std::string hashesToText(const std::vector<std::uint64_t>& hashes) {
     static constexpr char digits[] = "0123456789abcdef";
     std::string text;
-    text.reserve(hashes.size() * hexDigits);
+    text.reserve(hashes.size() * hexDigitsPerHash);
     for (const std::uint64_t hash : hashes)
         for (int shift = 60; shift >= 0; shift -= 4) text += digits[(hash >> shift) & 15];
     return text;
 }
 
-// A digit that is none reads as zero: the bucket then differs and is listed, which is safe.
+// A hash with an invalid digit reads as zero: its bucket then differs and is listed, which is safe.
 std::vector<std::uint64_t> hashesFromText(const std::string& text) {
     std::vector<std::uint64_t> hashes;
-    for (std::size_t at = 0; at + hexDigits <= text.size(); at += hexDigits) {
+    for (std::size_t offset = 0; offset + hexDigitsPerHash <= text.size(); offset += hexDigitsPerHash) {
         std::uint64_t hash = 0;
-        std::from_chars(text.data() + at, text.data() + at + hexDigits, hash, 16);
+        std::from_chars(text.data() + offset, text.data() + offset + hexDigitsPerHash, hash, 16);
         hashes.push_back(hash);
     }
     return hashes;
@@ -53,8 +53,8 @@
 
 Json RecordUpdate::toJson() const {
     Json message{{"n", name}, {"v", versionToJson(version)}};
-    if (from) {
-        message["f"] = versionToJson(*from);
+    if (baseVersion) {
+        message["f"] = versionToJson(*baseVersion);
         message["p"] = body;
         return message;
     }
@@ -69,7 +69,7 @@
     update.name = message.at("n").get<std::string>();
     update.version = versionFromJson(message.at("v"));
     if (message.contains("p")) {
-        update.from = versionFromJson(message.at("f"));
+        update.baseVersion = versionFromJson(message.at("f"));
         update.body = message["p"];
         return update;
     }
@@ -79,23 +79,23 @@
     return update;
 }
 
-Json News::toJson() const {
+Json UpdateBatch::toJson() const {
     Json list = Json::array();
-    for (const RecordUpdate& each : records) list.push_back(each.toJson());
-    return {{"k", answer ? kindOfAnswer : kind}, {"r", std::move(list)}};
+    for (const RecordUpdate& update : records) list.push_back(update.toJson());
+    return {{"k", isReply ? replyKind : kind}, {"r", std::move(list)}};
 }
 
-News News::fromJson(const Json& message) {
-    News news;
-    news.answer = message.at("k") == kindOfAnswer;
-    for (const Json& each : message.at("r")) news.records.push_back(RecordUpdate::fromJson(each));
-    return news;
+UpdateBatch UpdateBatch::fromJson(const Json& message) {
+    UpdateBatch batch;
+    batch.isReply = message.at("k") == replyKind;
+    for (const Json& update : message.at("r")) batch.records.push_back(RecordUpdate::fromJson(update));
+    return batch;
 }
 
 Json Digest::toJson() const {
     return {{"k", kind},
             {"exchange", exchange},
-            {"contact_age_ms", contactAge_ms},
+            {"contact_age_ms", connectivityAge_ms},
             {"hashes", hashesToText(hashes)}};
 }
 
@@ -107,7 +107,7 @@
 Json Inventory::toJson() const {
     return {{"k", kind},
             {"exchange", exchange},
-            {"contact_age_ms", contactAge_ms},
+            {"contact_age_ms", connectivityAge_ms},
             {"bucket_count", bucketCount},
             {"buckets", buckets},
             {"held", heldToJson(held)},
@@ -123,33 +123,34 @@
             message.at("last").get<bool>()};
 }
 
-Json Want::toJson() const {
+Json RecordRequest::toJson() const {
     return {{"k", kind}, {"number", number}, {"names", heldToJson(names)}};
 }
 
-Want Want::fromJson(const Json& message) {
+RecordRequest RecordRequest::fromJson(const Json& message) {
     return {message.at("number").get<std::uint64_t>(), heldFromJson(message.at("names"))};
 }
 
-Json Sent::toJson() const {
+Json RecordsSent::toJson() const {
     return {{"k", kind}, {"number", number}};
 }
 
-Sent Sent::fromJson(const Json& message) {
+RecordsSent RecordsSent::fromJson(const Json& message) {
     return {message.at("number").get<std::uint64_t>()};
 }
 
-Json Complete::toJson() const {
-    return {{"k", kind}, {"exchange", exchange}, {"contact_age_ms", contactAge_ms}};
+Json ExchangeComplete::toJson() const {
+    return {{"k", kind}, {"exchange", exchange}, {"contact_age_ms", connectivityAge_ms}};
 }
 
-Complete Complete::fromJson(const Json& message) {
+ExchangeComplete ExchangeComplete::fromJson(const Json& message) {
     return {message.at("exchange").get<std::uint64_t>(), message.at("contact_age_ms").get<std::int64_t>()};
 }
 
-bool isGossip(const std::string& kind) {
-    return kind == News::kind || kind == News::kindOfAnswer || kind == Digest::kind ||
-           kind == Inventory::kind || kind == Want::kind || kind == Sent::kind || kind == Complete::kind;
+bool isGossipMessage(const std::string& kind) {
+    return kind == UpdateBatch::kind || kind == UpdateBatch::replyKind || kind == Digest::kind ||
+           kind == Inventory::kind || kind == RecordRequest::kind || kind == RecordsSent::kind ||
+           kind == ExchangeComplete::kind;
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/patch_history.cpp
+++ b/src/gossip/patch_history.cpp
@@ -6,31 +6,32 @@
 
 namespace {
 // Patches kept for one record, in bytes as JSON: about the size of a configuration of some hundred routes,
-// above which the whole is shorter.
-constexpr std::size_t bytesMost = 32 * 1024;
+// above which sending the whole record is shorter.
+constexpr std::size_t maxBytesPerRecord = 32 * 1024;
 }  // namespace
 
-void History::changed(const std::string& name, const Version& from, const Version& to, const Json& patch) {
-    if (patch.is_null()) return forget(name);
-    Steps& steps = steps_[name];
-    if (!steps.all.empty() && steps.all.back().to != from) steps = {};
+void PatchHistory::add(const std::string& name, const Version& from, const Version& to, const Json& patch) {
+    if (patch.is_null()) return erase(name);
+    Changes& changes = changesByName_[name];
+    if (!changes.all.empty() && changes.all.back().to != from) changes = {};
     const std::size_t bytes = patch.dump().size();
-    steps.all.push_back({from, to, patch, bytes});
-    steps.bytes += bytes;
-    while (steps.bytes > bytesMost) {
-        steps.bytes -= steps.all.front().bytes;
-        steps.all.pop_front();
+    changes.all.push_back({from, to, patch, bytes});
+    changes.bytes += bytes;
+    while (changes.bytes > maxBytesPerRecord) {
+        changes.bytes -= changes.all.front().bytes;
+        changes.all.pop_front();
     }
 }
 
-std::optional<Json> History::since(const std::string& name, const Version& from) const {
-    const auto found = steps_.find(name);
-    if (found == steps_.end()) return std::nullopt;
-    const std::deque<Step>& all = found->second.all;
-    auto step = std::find_if(all.begin(), all.end(), [&](const Step& each) { return each.from == from; });
-    if (step == all.end()) return std::nullopt;
+std::optional<Json> PatchHistory::patchSince(const std::string& name, const Version& from) const {
+    const auto found = changesByName_.find(name);
+    if (found == changesByName_.end()) return std::nullopt;
+    const std::deque<Change>& all = found->second.all;
+    auto change = std::find_if(all.begin(), all.end(), [&](const Change& each) { return each.from == from; });
+    if (change == all.end()) return std::nullopt;
     Json patch = Json::array();
-    for (; step != all.end(); ++step) patch.insert(patch.end(), step->patch.begin(), step->patch.end());
+    for (; change != all.end(); ++change)
+        patch.insert(patch.end(), change->patch.begin(), change->patch.end());
     return patch;
 }
 
--- a/src/gossip/patch_history.hpp
+++ b/src/gossip/patch_history.hpp
@@ -1,5 +1,5 @@
-// The last changes of large records as patches, so that who holds a version of a while ago is sent what
-// changed since and not the whole. Bounded in bytes for each record; free of I/O.
+// The latest changes of large records as patches, so that a peer that holds an earlier version is sent the
+// changes since then and not the whole record. Bounded in bytes for each record. Free of I/O.
 #pragma once
 
 #include <deque>
@@ -11,25 +11,26 @@
 
 namespace granitereel::gossip {
 
-class History {
+class PatchHistory {
 public:
-    // A record went from one version to the next by `patch` (RFC 6902); null: it was replaced as a whole.
-    void changed(const std::string& name, const Version& from, const Version& to, const Json& patch);
-    // One patch from `from` to the present version; none where the steps from there aren't held.
-    std::optional<Json> since(const std::string& name, const Version& from) const;
-    void forget(const std::string& name) { steps_.erase(name); }
+    // Adds the change of a record from one version to the next. `patch`: RFC 6902; null: the record was
+    // replaced as a whole, which ends its history.
+    void add(const std::string& name, const Version& from, const Version& to, const Json& patch);
+    // One patch from version `from` to the present one; nullopt where not all changes since then are kept.
+    std::optional<Json> patchSince(const std::string& name, const Version& from) const;
+    void erase(const std::string& name) { changesByName_.erase(name); }
 
 private:
-    struct Step {
+    struct Change {
         Version from, to;
         Json patch;
         std::size_t bytes = 0;
     };
-    struct Steps {
-        std::deque<Step> all;
+    struct Changes {
+        std::deque<Change> all;
         std::size_t bytes = 0;
     };
-    std::map<std::string, Steps> steps_;
+    std::map<std::string, Changes> changesByName_;
 };
 
 }  // namespace granitereel::gossip
--- a/src/gossip/record_expiry.cpp
+++ b/src/gossip/record_expiry.cpp
@@ -4,46 +4,46 @@
 
 namespace granitereel::gossip {
 
-bool Lifetimes::mayEnd(const std::string& name) {
+bool RecordExpiry::canBeDeleted(const std::string& name) {
     return name.starts_with("store/") || name.starts_with("front/") || name.starts_with("member/");
 }
 
-void Lifetimes::buried(const std::string& name, Nanos now, Nanos age) {
-    buriedAt_[name] = now - age;
+void RecordExpiry::addTombstone(const std::string& name, Nanos now, Nanos age) {
+    deletedAt_[name] = now - age;
 }
 
-Nanos Lifetimes::age(const std::string& name, Nanos now) const {
-    const auto at = buriedAt_.find(name);
-    return at == buriedAt_.end() ? 0 : std::max<Nanos>(0, now - at->second);
+Nanos RecordExpiry::tombstoneAge(const std::string& name, Nanos now) const {
+    const auto it = deletedAt_.find(name);
+    return it == deletedAt_.end() ? 0 : std::max<Nanos>(0, now - it->second);
 }
 
-std::vector<std::string> Lifetimes::takeEnded(Nanos now) {
-    std::vector<std::string> ended;
-    for (const auto& [name, since] : buriedAt_)
-        if (now - since >= tombstoneLife) ended.push_back(name);
-    for (const std::string& name : ended) buriedAt_.erase(name);
-    return ended;
+std::vector<std::string> RecordExpiry::takeExpired(Nanos now) {
+    std::vector<std::string> expired;
+    for (const auto& [name, deletedAt] : deletedAt_)
+        if (now - deletedAt >= tombstoneLifetime) expired.push_back(name);
+    for (const std::string& name : expired) deletedAt_.erase(name);
+    return expired;
 }
 
-bool Lifetimes::passed(Nanos now, bool inContact) {
-    inContact_ = inContact;
-    if (inContact) {
-        contactAt_ = now;
+bool RecordExpiry::advance(Nanos now, bool connected) {
+    connected_ = connected;
+    if (connected) {
+        connectedAt_ = now;
         isolated_ = false;
         return false;
     }
-    if (isolated_ || contactAge(now) <= isolationLimit) return false;
+    if (isolated_ || connectivityAge(now) <= maxIsolation) return false;
     isolated_ = true;
     return true;
 }
 
-void Lifetimes::peerContact(Nanos now, Nanos age) {
-    if (inContact_) return;
-    contactAt_ = std::min(contactAt_.value_or(now), now - age);
+void RecordExpiry::peerConnectivity(Nanos now, Nanos age) {
+    if (connected_) return;
+    connectedAt_ = std::min(connectedAt_.value_or(now), now - age);
 }
 
-Nanos Lifetimes::contactAge(Nanos now) const {
-    return contactAt_ ? std::max<Nanos>(0, now - *contactAt_) : 0;
+Nanos RecordExpiry::connectivityAge(Nanos now) const {
+    return connectedAt_ ? std::max<Nanos>(0, now - *connectedAt_) : 0;
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/record_expiry.hpp
+++ b/src/gossip/record_expiry.hpp
@@ -1,8 +1,9 @@
-// When records end. A tombstone is kept for `tombstoneLife` after it was made, wherever it has come since. A
-// process that was without contact with control for longer than `isolationLimit` may hold records whose
-// tombstones have ended elsewhere: these are unconfirmed, are told to nobody as certain, and are dropped
-// a while after it is in contact again, unless a peer was found to hold them or their owner said them anew.
-// Free of I/O and clocks.
+// When records expire. A tombstone is kept for `tombstoneLifetime` after the deletion, whichever processes it
+// has passed through since. A process that was without contact with control for longer than `maxIsolation`
+// may hold records whose tombstones have expired elsewhere. Such records are unconfirmed: they are passed on
+// to nobody as certain, and are dropped some time after contact is back, unless a peer turns out to hold them
+// or their owner publishes them again. Otherwise a deleted record would come back once its tombstone has
+// expired. Free of I/O and clocks.
 #pragma once
 
 #include <map>
@@ -16,41 +17,42 @@
 
 namespace granitereel::gossip {
 
-constexpr Nanos tombstoneLife = millis(600'000);
+constexpr Nanos tombstoneLifetime = millis(600'000);
 // A record may pass through several processes without contact, each of which counts from its own last
-// contact: so a part of the life, by which three such steps are borne.
-constexpr Nanos isolationLimit = tombstoneLife / 4;
-// How long after contact came back unconfirmed records wait to be confirmed: several heartbeats of stores.
-constexpr Nanos confirmedWithin = millis(10'000);
+// contact: a quarter of the lifetime allows for three such hops.
+constexpr Nanos maxIsolation = tombstoneLifetime / 4;
+// For how long after contact is back unconfirmed records wait to be confirmed: several heartbeats of stores.
+constexpr Nanos confirmationTimeout = millis(10'000);
 
-class Lifetimes {
+class RecordExpiry {
 public:
-    // Whether records of this name are ever taken down. Values of registers are not.
-    static bool mayEnd(const std::string& name);
-
-    // A tombstone of so much age came or was made at `now`.
-    void buried(const std::string& name, Nanos now, Nanos age);
-    void unburied(const std::string& name) { buriedAt_.erase(name); }
-    Nanos age(const std::string& name, Nanos now) const;
-    // Takes out the names of tombstones that have ended.
-    std::vector<std::string> takeEnded(Nanos now);
-
-    // Time passes; `inContact`: this process holds a lease. Returns whether the process has just been without
-    // contact for longer than the limit.
-    bool passed(Nanos now, bool inContact);
-    // A peer said how long ago it was in contact: what comes from there is no younger.
-    void peerContact(Nanos now, Nanos age);
-    Nanos contactAge(Nanos now) const;
-
-    void doubt(const std::string& name) { unconfirmed_.insert(name); }
+    // Whether records of this name are ever deleted. Those that hold the values of registers are not.
+    static bool canBeDeleted(const std::string& name);
+
+    // A tombstone of this age was received or created at `now`.
+    void addTombstone(const std::string& name, Nanos now, Nanos age);
+    void removeTombstone(const std::string& name) { deletedAt_.erase(name); }
+    Nanos tombstoneAge(const std::string& name, Nanos now) const;
+    // Removes the tombstones that have expired and returns their names.
+    std::vector<std::string> takeExpired(Nanos now);
+
+    // Advances the clock. `connected`: this process holds a lease of control. Returns true once when the
+    // process has been without contact for longer than maxIsolation.
+    bool advance(Nanos now, bool connected);
+    // A peer reported how long ago it had contact: what it sends may be as old.
+    void peerConnectivity(Nanos now, Nanos age);
+    // For how long this process, or a peer that it took records from, has been without contact.
+    Nanos connectivityAge(Nanos now) const;
+
+    void markUnconfirmed(const std::string& name) { unconfirmed_.insert(name); }
     void confirm(const std::string& name) { unconfirmed_.erase(name); }
     const std::set<std::string>& unconfirmed() const { return unconfirmed_; }
 
 private:
-    std::map<std::string, Nanos> buriedAt_;
+    std::map<std::string, Nanos> deletedAt_;
     std::set<std::string> unconfirmed_;
-    std::optional<Nanos> contactAt_;  // none: nothing was heard from anyone yet
-    bool isolated_ = false, inContact_ = false;
+    std::optional<Nanos> connectedAt_;  // the last contact; none: nothing was received from anyone yet
+    bool isolated_ = false, connected_ = false;
 };
 
 }  // namespace granitereel::gossip
--- a/src/gossip/record_renewals.hpp
+++ b/src/gossip/record_renewals.hpp
@@ -1,5 +1,6 @@
-// Records that only one process makes (fronts, members) are renewed by it now and then, so that one whose
-// process died without a word can be told from one that lives. Free of I/O and clocks.
+// Records that only their owner writes (those of proxies and of members) are renewed by it at intervals, so
+// that the record of a process that died without deleting it can be told from that of a live one. Free of I/O
+// and clocks.
 #pragma once
 
 #include <map>
@@ -10,29 +11,31 @@
 
 namespace granitereel::gossip {
 
-// How often an owner in contact with control renews its record: some 100 bytes for every process.
-constexpr Nanos renewEvery = millis(15 * 60'000);
-// A record that was not renewed for so long is taken down; an owner that lives puts it anew when it hears so.
-constexpr Nanos renewedWithin = 4 * renewEvery;
-// An owner without contact for so long reckons with its record's end.
-constexpr Nanos presumedGoneAfter = 2 * renewEvery;
+// How often an owner in contact with control renews its record: some 100 bytes for each process.
+constexpr Nanos renewalInterval = millis(15 * 60'000);
+// A record that was not renewed for this long is deleted; an owner that is alive publishes it again when it
+// receives the tombstone.
+constexpr Nanos renewalTimeout = 4 * renewalInterval;
+// An owner that was without contact for this long assumes that its record has been deleted.
+constexpr Nanos presumedExpiredAfter = 2 * renewalInterval;
 
-class Renewals {
+class RecordRenewals {
 public:
     // Whether records of this name are renewed by their owners.
-    static bool renewed(const std::string& name);
-
-    // The record came, or a later version of it.
-    void came(const std::string& name, Nanos now);
-    void gone(const std::string& name) { cameAt_.erase(name); }
-    // Records that were not renewed in time, by what this process heard. One that was without contact for
-    // long holds them unconfirmed first (lifetimes.hpp), a shorter absence is far below the time.
+    static bool isRenewable(const std::string& name);
+
+    // The record, or a later version of it, was received.
+    void received(const std::string& name, Nanos now);
+    void erase(const std::string& name) { receivedAt_.erase(name); }
+    // Records that were not renewed in time, as far as this process received it. A process that was without
+    // contact for long marks them unconfirmed first (record_expiry.hpp); shorter outages are far below the
+    // timeout.
     std::vector<std::string> overdue(Nanos now) const;
-    // Whether this process's own records are to be renewed now; if so they count as renewed.
-    bool renewOwn(Nanos now);
+    // Whether this process's own records are due for renewal; if so, they count as renewed at `now`.
+    bool startOwnRenewal(Nanos now);
 
 private:
-    std::map<std::string, Nanos> cameAt_;
+    std::map<std::string, Nanos> receivedAt_;
     Nanos ownRenewedAt_ = 0;
 };
 
--- a/src/gossip/record_replicator.cpp
+++ b/src/gossip/record_replicator.cpp
@@ -9,18 +9,18 @@
 namespace granitereel::gossip {
 
 namespace {
-// An exchange in which nothing has come for so long is begun again: above the time of a piece on a slow link.
-// An accepted link on which nothing has come for so long, though members ask for leases five times a second,
-// is no way to its peer any more.
-constexpr Nanos silentAfter = millis(2'000);
-constexpr Nanos exchangeAgain = millis(3'000);
-// How often tombstones are looked through.
-constexpr Nanos sweepEvery = millis(1'000);
-// Up to so many records the dialler lists its names at once, which saves a turn.
-constexpr std::size_t smallBoard = 32;
-// Names in one piece of an inventory or a want: some 40 bytes each.
-constexpr std::size_t namesInPiece = pieceBytes / 40;
-constexpr Nanos nanosInMilli = 1'000'000;
+// An accepted link on which nothing has arrived for this long, though members ask for leases five times a
+// second, no longer counts as a way to its peer.
+constexpr Nanos linkSilenceTimeout = millis(2'000);
+// An exchange without progress for this long is restarted: longer than one message takes on a slow link.
+constexpr Nanos exchangeRetryTimeout = millis(3'000);
+// How often tombstones and stalled exchanges are checked.
+constexpr Nanos sweepInterval = millis(1'000);
+// Up to this many records the dialler lists all its names at once, which saves a round trip.
+constexpr std::size_t maxRecordsForDirectInventory = 32;
+// Names in one message of an inventory or a request, at some 40 bytes each.
+constexpr std::size_t namesPerMessage = targetMessageBytes / 40;
+constexpr Nanos nanosecondsPerMillisecond = 1'000'000;
 
 std::uint64_t hashOfBody(const Json& body) {
     const std::string text = body.dump();
@@ -30,429 +30,440 @@
 
 // ---- time -----------------------------------------------------------------------------------------
 
-void Gossip::advance(Nanos now, bool inContact) {
+void RecordReplicator::advance(Nanos now, bool connected) {
     now_ = now;
-    const bool regained = !std::exchange(inContact_, inContact) && inContact;
-    if (lifetimes_.passed(now, inContact)) doubtAll();
-    if (regained && !lifetimes_.unconfirmed().empty()) contactRegained();
-    if (inContact && !lifetimes_.unconfirmed().empty()) settleUnconfirmed();
-    if (now - sweptAt_ < sweepEvery) return;
+    const bool restored = !std::exchange(connected_, connected) && connected;
+    if (expiry_.advance(now, connected)) markAllUnconfirmed();
+    if (restored && !expiry_.unconfirmed().empty()) contactRestored();
+    if (connected && !expiry_.unconfirmed().empty()) confirmOrDropRecords();
+    if (now - sweptAt_ < sweepInterval) return;
     sweptAt_ = now;
-    if (renewals_.renewOwn(now) && inContact) renewOwned();
-    for (const std::string& name : lifetimes_.takeEnded(now)) {
-        const Record* record = board_.find(name);
-        if (record && record->body.is_null()) board_.forget(name);
+    if (renewals_.startOwnRenewal(now) && connected) renewOwned();
+    for (const std::string& name : expiry_.takeExpired(now)) {
+        const Record* record = recordTable_.find(name);
+        if (record && record->body.is_null()) recordTable_.erase(name);
     }
-    chooseCarriers();
-    for (auto& [number, link] : links_) {
-        if ((!link.awaiting && link.wants.empty()) || now - link.answeredAt < exchangeAgain) continue;
-        link.answeredAt = now;
-        link.wants.clear();
-        if (link.side == Side::dialler) beginExchange(number);
+    chooseUpdateLinks();
+    for (auto& [linkId, link] : links_) {
+        if ((!link.awaitingRecords && link.openRequests.empty()) ||
+            now - link.lastProgressAt < exchangeRetryTimeout)
+            continue;
+        link.lastProgressAt = now;
+        link.openRequests.clear();
+        if (link.side == Side::dialler) startExchange(linkId);
     }
 }
 
-void Gossip::doubtAll() {
-    for (const auto& [name, record] : board_.all())
-        if (Lifetimes::mayEnd(name) && !owned_.count(name)) lifetimes_.doubt(name);
-    beginExchanges();
+void RecordReplicator::markAllUnconfirmed() {
+    for (const auto& [name, record] : recordTable_.all())
+        if (RecordExpiry::canBeDeleted(name) && !owned_.count(name)) expiry_.markUnconfirmed(name);
+    startAllExchanges();
 }
 
-// Others may have been without contact as long and doubt this process's own records: they are put anew. What
-// peers in contact hold is confirmed by new exchanges.
-void Gossip::contactRegained() {
-    regainedAt_ = askedAgainAt_ = now_;
+// Other processes may have been without contact as long and hold this process's own records as unconfirmed,
+// so these are published again. What peers with contact hold is confirmed by new exchanges.
+void RecordReplicator::contactRestored() {
+    contactRestoredAt_ = exchangesRestartedAt_ = now_;
     renewOwned();
-    beginExchanges();
+    startAllExchanges();
 }
 
-void Gossip::renewOwned() {
+void RecordReplicator::renewOwned() {
     for (const auto& [name, body] : owned_) {
-        const std::uint64_t major = board_.find(name)->version.major;
+        const std::uint64_t major = recordTable_.find(name)->version.major;
         put(name, {{major + 1, hashOfBody(body)}, body});
     }
 }
 
-std::vector<std::string> Gossip::overdue() const {
+std::vector<std::string> RecordReplicator::overdueRecords() const {
     std::vector<std::string> names = renewals_.overdue(now_);
-    std::erase_if(names, [this](const std::string& name) { return owned_.count(name) || unconfirmed(name); });
+    std::erase_if(names,
+                  [this](const std::string& name) { return owned_.count(name) || isUnconfirmed(name); });
     return names;
 }
 
-void Gossip::beginExchanges() {
-    for (const auto& [number, link] : links_)
-        if (link.side == Side::dialler) beginExchange(number);
+void RecordReplicator::startAllExchanges() {
+    for (const auto& [linkId, link] : links_)
+        if (link.side == Side::dialler) startExchange(linkId);
 }
 
-// A peer may itself have been confirmed since the last exchange: it is asked again a few times, and once more
-// after what was not confirmed is gone, so that nothing is missing that it holds.
-void Gossip::settleUnconfirmed() {
-    if (now_ - regainedAt_ >= confirmedWithin) {
+// A peer's records may have been confirmed since the last exchange, so the exchange is repeated a few times,
+// and once more after the unconfirmed records were dropped, so that no record is missing that a peer holds.
+void RecordReplicator::confirmOrDropRecords() {
+    if (now_ - contactRestoredAt_ >= confirmationTimeout) {
         dropUnconfirmed();
-        return beginExchanges();
+        return startAllExchanges();
     }
-    if (now_ - askedAgainAt_ < confirmedWithin / 4) return;
-    askedAgainAt_ = now_;
-    beginExchanges();
+    if (now_ - exchangesRestartedAt_ < confirmationTimeout / 4) return;
+    exchangesRestartedAt_ = now_;
+    startAllExchanges();
 }
 
-void Gossip::dropUnconfirmed() {
-    const std::set<std::string> dropped = lifetimes_.unconfirmed();
+void RecordReplicator::dropUnconfirmed() {
+    const std::set<std::string> dropped = expiry_.unconfirmed();
     for (const std::string& name : dropped) {
-        lifetimes_.confirm(name);
-        lifetimes_.unburied(name);
-        renewals_.gone(name);
-        const Record* record = board_.find(name);
+        expiry_.confirm(name);
+        expiry_.removeTombstone(name);
+        renewals_.erase(name);
+        const Record* record = recordTable_.find(name);
         if (!record) continue;
-        const Record gone{record->version, nullptr};
-        board_.forget(name);
-        history_.forget(name);
-        onNews_(name, gone);
+        const Record tombstone{record->version, nullptr};
+        recordTable_.erase(name);
+        history_.erase(name);
+        onUpdate_(name, tombstone);
     }
 }
 
-std::int64_t Gossip::contactAge_ms() const {
-    return lifetimes_.contactAge(now_) / nanosInMilli;
+std::int64_t RecordReplicator::connectivityAge_ms() const {
+    return expiry_.connectivityAge(now_) / nanosecondsPerMillisecond;
 }
 
 // ---- a new link -----------------------------------------------------------------------------------
 
-void Gossip::join(int number, Side side, const std::string& peer) {
-    Link& link = links_[number];
+void RecordReplicator::addLink(int linkId, Side side, const std::string& peer) {
+    Link& link = links_[linkId];
     link = {};
     link.side = side;
     link.peer = peer;
-    link.answeredAt = link.aliveAt = now_;
-    chooseCarriers();
-    if (side == Side::dialler) beginExchange(number);
+    link.lastProgressAt = link.lastReceivedAt = now_;
+    chooseUpdateLinks();
+    if (side == Side::dialler) startExchange(linkId);
 }
 
-void Gossip::leave(int number) {
-    links_.erase(number);
-    chooseCarriers();
+void RecordReplicator::removeLink(int linkId) {
+    links_.erase(linkId);
+    chooseUpdateLinks();
 }
 
-void Gossip::alive(int number) {
-    const auto at = links_.find(number);
-    if (at != links_.end()) at->second.aliveAt = now_;
+void RecordReplicator::noteActivity(int linkId) {
+    const auto it = links_.find(linkId);
+    if (it != links_.end()) it->second.lastReceivedAt = now_;
 }
 
-bool Gossip::acceptedFrom(const std::string& peer) const {
+bool RecordReplicator::hasLiveAcceptedLink(const std::string& peer) const {
     if (peer.empty()) return false;
     return std::any_of(links_.begin(), links_.end(), [&](const auto& each) {
         const Link& link = each.second;
-        return link.side == Side::acceptor && link.peer == peer && now_ - link.aliveAt < silentAfter;
+        return link.side == Side::acceptor && link.peer == peer &&
+               now_ - link.lastReceivedAt < linkSilenceTimeout;
     });
 }
 
-// A dialled link that begins to carry changes may have missed some: its exchange is begun again.
-void Gossip::chooseCarriers() {
-    for (auto& [number, link] : links_) {
+// A dialled link that starts to carry changes may have missed some, so its exchange is restarted.
+void RecordReplicator::chooseUpdateLinks() {
+    for (auto& [linkId, link] : links_) {
         if (link.side != Side::dialler) continue;
-        const bool carried = std::exchange(link.carries, !acceptedFrom(link.peer));
-        if (link.carries && !carried) beginExchange(number);
+        const bool carriedBefore = std::exchange(link.carriesUpdates, !hasLiveAcceptedLink(link.peer));
+        if (link.carriesUpdates && !carriedBefore) startExchange(linkId);
     }
 }
 
-void Gossip::beginExchange(int number) {
-    Link& link = links_.at(number);
-    link.awaiting = true;
-    link.answeredAt = now_;
+void RecordReplicator::startExchange(int linkId) {
+    Link& link = links_.at(linkId);
+    link.awaitingRecords = true;
+    link.lastProgressAt = now_;
     link.exchange = ++lastExchange_;
-    link.listed.clear();
-    sendUnconfirmed(number);
-    if (board_.all().size() <= smallBoard) return sendInventory(number, link.exchange, 1, {0});
+    link.peerVersions.clear();
+    sendUnconfirmed(linkId);
+    if (recordTable_.all().size() <= maxRecordsForDirectInventory)
+        return sendInventory(linkId, link.exchange, 1, {0});
     Digest digest;
     digest.exchange = link.exchange;
-    digest.contactAge_ms = contactAge_ms();
-    digest.hashes = bucketHashes(board_, bucketCountFor(board_.all().size()), lifetimes_.unconfirmed());
-    send_(number, digest.toJson());
-}
-
-void Gossip::exchangeAnew(int number) {
-    const auto at = links_.find(number);
-    if (at != links_.end() && at->second.side == Side::dialler) beginExchange(number);
-}
-
-Nanos Gossip::unansweredFor(int number) const {
-    const auto at = links_.find(number);
-    return at == links_.end() || complete(number) ? 0 : now_ - at->second.answeredAt;
-}
-
-bool Gossip::complete(int number) const {
-    const auto at = links_.find(number);
-    return at != links_.end() && !at->second.awaiting && at->second.wants.empty();
-}
-
-void Gossip::sendInventory(int number, std::uint64_t exchange, std::uint64_t bucketCount,
-                           const std::vector<std::uint64_t>& buckets) {
-    const std::set<std::uint64_t> listed(buckets.begin(), buckets.end());
-    Inventory piece;
-    piece.exchange = exchange;
-    piece.contactAge_ms = contactAge_ms();
-    piece.bucketCount = bucketCount;
-    piece.buckets = buckets;
-    piece.last = false;
-    for (const auto& [name, record] : board_.all()) {
-        if (lifetimes_.unconfirmed().count(name) || !listed.count(bucketOf(name, bucketCount))) continue;
-        piece.held.push_back({name, record.version});
-        if (piece.held.size() < namesInPiece) continue;
-        send_(number, piece.toJson());
-        piece.held.clear();
+    digest.connectivityAge_ms = connectivityAge_ms();
+    digest.hashes =
+        bucketHashes(recordTable_, bucketCountFor(recordTable_.all().size()), expiry_.unconfirmed());
+    send_(linkId, digest.toJson());
+}
+
+void RecordReplicator::restartExchange(int linkId) {
+    const auto it = links_.find(linkId);
+    if (it != links_.end() && it->second.side == Side::dialler) startExchange(linkId);
+}
+
+Nanos RecordReplicator::exchangeStalledFor(int linkId) const {
+    const auto it = links_.find(linkId);
+    return it == links_.end() || isComplete(linkId) ? 0 : now_ - it->second.lastProgressAt;
+}
+
+bool RecordReplicator::isComplete(int linkId) const {
+    const auto it = links_.find(linkId);
+    return it != links_.end() && !it->second.awaitingRecords && it->second.openRequests.empty();
+}
+
+void RecordReplicator::sendInventory(int linkId, std::uint64_t exchange, std::uint64_t bucketCount,
+                                     const std::vector<std::uint64_t>& buckets) {
+    const std::set<std::uint64_t> listedBuckets(buckets.begin(), buckets.end());
+    Inventory part;
+    part.exchange = exchange;
+    part.connectivityAge_ms = connectivityAge_ms();
+    part.bucketCount = bucketCount;
+    part.buckets = buckets;
+    part.last = false;
+    for (const auto& [name, record] : recordTable_.all()) {
+        if (expiry_.unconfirmed().count(name) || !listedBuckets.count(bucketOf(name, bucketCount))) continue;
+        part.held.push_back({name, record.version});
+        if (part.held.size() < namesPerMessage) continue;
+        send_(linkId, part.toJson());
+        part.held.clear();
     }
-    piece.last = true;
-    send_(number, piece.toJson());
+    part.last = true;
+    send_(linkId, part.toJson());
 }
 
-void Gossip::take(int number, const Digest& digest) {
-    Link& link = links_.at(number);
-    lifetimes_.peerContact(now_, digest.contactAge_ms * nanosInMilli);
+void RecordReplicator::handle(int linkId, const Digest& digest) {
+    Link& link = links_.at(linkId);
+    expiry_.peerConnectivity(now_, digest.connectivityAge_ms * nanosecondsPerMillisecond);
     const std::uint64_t count = digest.hashes.size();
     if (count == 0 || (count & (count - 1)) != 0) return;
-    const auto mine = bucketHashes(board_, count, lifetimes_.unconfirmed());
+    const auto own = bucketHashes(recordTable_, count, expiry_.unconfirmed());
     std::vector<std::uint64_t> differing;
     for (std::uint64_t bucket = 0; bucket < count; ++bucket)
-        if (mine[bucket] != digest.hashes[bucket]) differing.push_back(bucket);
-    link.awaiting = !differing.empty();
-    sendUnconfirmed(number);
-    sendInventory(number, digest.exchange, count, differing);
-}
-
-void Gossip::take(int number, const Inventory& piece) {
-    Link& link = links_.at(number);
-    // An answer to an exchange that was begun again since counts no more.
-    if (link.side == Side::dialler && piece.exchange != link.exchange) return;
-    if (link.side == Side::acceptor && piece.exchange != link.exchange) {
-        link.exchange = piece.exchange;
-        link.listed.clear();
+        if (own[bucket] != digest.hashes[bucket]) differing.push_back(bucket);
+    link.awaitingRecords = !differing.empty();
+    sendUnconfirmed(linkId);
+    sendInventory(linkId, digest.exchange, count, differing);
+}
+
+void RecordReplicator::handle(int linkId, const Inventory& part) {
+    Link& link = links_.at(linkId);
+    // A reply to an earlier exchange that was restarted since then no longer counts.
+    if (link.side == Side::dialler && part.exchange != link.exchange) return;
+    if (link.side == Side::acceptor && part.exchange != link.exchange) {
+        link.exchange = part.exchange;
+        link.peerVersions.clear();
     }
-    lifetimes_.peerContact(now_, piece.contactAge_ms * nanosInMilli);
-    for (const HeldVersion& each : piece.held) link.listed[each.name] = each.version;
-    if (piece.last) answerInventory(number, piece);
+    expiry_.peerConnectivity(now_, part.connectivityAge_ms * nanosecondsPerMillisecond);
+    for (const HeldVersion& each : part.held) link.peerVersions[each.name] = each.version;
+    if (part.last) replyToInventory(linkId, part);
 }
 
-// The whole of some buckets of the peer is known: it gets what it lacks there, and is asked for what it has.
-void Gossip::answerInventory(int number, const Inventory& last) {
-    Link& link = links_.at(number);
-    const std::map<std::string, Version> listed = std::exchange(link.listed, {});
+// The peer's inventory of some buckets is known in full: sends it the records that it lacks there, and
+// requests those that this table lacks.
+void RecordReplicator::replyToInventory(int linkId, const Inventory& last) {
+    Link& link = links_.at(linkId);
+    const std::map<std::string, Version> peerVersions = std::exchange(link.peerVersions, {});
     const std::set<std::uint64_t> buckets(last.buckets.begin(), last.buckets.end());
-    std::vector<HeldVersion> lacking, wanted;
-    for (const auto& [name, record] : board_.all()) {
+    std::vector<HeldVersion> missingAtPeer, missingHere;
+    for (const auto& [name, record] : recordTable_.all()) {
         if (!buckets.count(bucketOf(name, last.bucketCount))) continue;
-        const auto at = listed.find(name);
-        const Version held = at == listed.end() ? Version() : at->second;
-        if (held == record.version) lifetimes_.confirm(name);
-        if (held < record.version && !lifetimes_.unconfirmed().count(name)) lacking.push_back({name, held});
+        const auto it = peerVersions.find(name);
+        const Version held = it == peerVersions.end() ? Version() : it->second;
+        if (held == record.version) expiry_.confirm(name);
+        if (held < record.version && !expiry_.unconfirmed().count(name))
+            missingAtPeer.push_back({name, held});
     }
-    for (const auto& [name, version] : listed) {
-        const Version mine = standing(name);
-        if (mine < version) wanted.push_back({name, mine});
+    for (const auto& [name, version] : peerVersions) {
+        const Version own = confirmedVersion(name);
+        if (own < version) missingHere.push_back({name, own});
     }
-    // A peer that asks over a link of its own gets there what it lacks.
-    if (link.carries) sendRecords(number, lacking);
-    link.awaiting = false;
+    // A peer that holds a link of its own to this process gets what it lacks over that one.
+    if (link.carriesUpdates) sendRecords(linkId, missingAtPeer);
+    link.awaitingRecords = false;
     if (link.side == Side::dialler) {
-        // Also where nothing is wanted: it tells the peer that what it lacked was sent.
-        if (!last.buckets.empty()) want(number, std::move(wanted));
+        // Also sent where nothing is missing: it tells the peer that all records it lacked were sent.
+        if (!last.buckets.empty()) requestRecords(linkId, std::move(missingHere));
         return;
     }
-    sendUnconfirmed(number);
-    send_(number, Complete{last.exchange, contactAge_ms()}.toJson());
-    if (!wanted.empty()) want(number, std::move(wanted));
+    sendUnconfirmed(linkId);
+    send_(linkId, ExchangeComplete{last.exchange, connectivityAge_ms()}.toJson());
+    if (!missingHere.empty()) requestRecords(linkId, std::move(missingHere));
 }
 
-void Gossip::want(int number, std::vector<HeldVersion> names) {
-    Link& link = links_.at(number);
-    if (link.wants.empty() && !link.awaiting) link.answeredAt = now_;
-    Want message;
-    for (std::size_t at = 0; at == 0 || at < names.size(); at += namesInPiece) {
-        const auto first = names.begin() + static_cast<std::ptrdiff_t>(at);
+void RecordReplicator::requestRecords(int linkId, std::vector<HeldVersion> names) {
+    Link& link = links_.at(linkId);
+    if (link.openRequests.empty() && !link.awaitingRecords) link.lastProgressAt = now_;
+    RecordRequest message;
+    for (std::size_t offset = 0; offset == 0 || offset < names.size(); offset += namesPerMessage) {
+        const auto first = names.begin() + static_cast<std::ptrdiff_t>(offset);
         const auto end =
-            names.begin() + static_cast<std::ptrdiff_t>(std::min(at + namesInPiece, names.size()));
-        message.number = ++lastWant_;
+            names.begin() + static_cast<std::ptrdiff_t>(std::min(offset + namesPerMessage, names.size()));
+        message.number = ++lastRequest_;
         message.names.assign(first, end);
         if (!message.names.empty()) {
-            std::set<std::string>& open = link.wants[message.number];
+            std::set<std::string>& open = link.openRequests[message.number];
             for (const HeldVersion& each : message.names) open.insert(each.name);
         }
-        send_(number, message.toJson());
+        send_(linkId, message.toJson());
     }
 }
 
-bool Gossip::wanted(const Link& link, const std::string& name) const {
-    return std::any_of(link.wants.begin(), link.wants.end(),
+bool RecordReplicator::isRequested(const Link& link, const std::string& name) const {
+    return std::any_of(link.openRequests.begin(), link.openRequests.end(),
                        [&](const auto& each) { return each.second.count(name) > 0; });
 }
 
-void Gossip::take(int number, const Want& want) {
-    Link& link = links_.at(number);
-    if (link.side == Side::acceptor) link.awaiting = false;
-    if (want.names.empty()) return;
-    sendRecords(number, want.names);
-    send_(number, Sent{want.number}.toJson());
+void RecordReplicator::handle(int linkId, const RecordRequest& request) {
+    Link& link = links_.at(linkId);
+    if (link.side == Side::acceptor) link.awaitingRecords = false;
+    if (request.names.empty()) return;
+    sendRecords(linkId, request.names);
+    send_(linkId, RecordsSent{request.number}.toJson());
 }
 
 // ---- records --------------------------------------------------------------------------------------
 
-// The version that counts against a peer's; none of what is unconfirmed.
-Version Gossip::standing(const std::string& name) const {
-    const Record* record = board_.find(name);
-    return record && !lifetimes_.unconfirmed().count(name) ? record->version : Version();
+// The version that is compared with a peer's; that of an unconfirmed record does not count.
+Version RecordReplicator::confirmedVersion(const std::string& name) const {
+    const Record* record = recordTable_.find(name);
+    return record && !expiry_.unconfirmed().count(name) ? record->version : Version();
 }
 
-RecordUpdate Gossip::whole(const std::string& name, const Record& record) const {
+RecordUpdate RecordReplicator::fullUpdate(const std::string& name, const Record& record) const {
     RecordUpdate update;
     update.name = name;
     update.version = record.version;
     update.body = record.body;
-    update.age_ms = record.body.is_null() ? lifetimes_.age(name, now_) / nanosInMilli : 0;
-    update.unconfirmed = lifetimes_.unconfirmed().count(name) > 0;
+    update.age_ms = record.body.is_null() ? expiry_.tombstoneAge(name, now_) / nanosecondsPerMillisecond : 0;
+    update.unconfirmed = expiry_.unconfirmed().count(name) > 0;
     return update;
 }
 
-RecordUpdate Gossip::updateFrom(const std::string& name, const Record& record, const Version& held) const {
-    RecordUpdate update = whole(name, record);
-    const auto patch = history_.since(name, held);
+RecordUpdate RecordReplicator::updateFrom(const std::string& name, const Record& record,
+                                          const Version& held) const {
+    RecordUpdate update = fullUpdate(name, record);
+    const auto patch = history_.patchSince(name, held);
     if (!patch || patch->dump().size() >= record.body.dump().size()) return update;
-    update.from = held;
+    update.baseVersion = held;
     update.body = *patch;
     return update;
 }
 
-void Gossip::sendRecords(int number, const std::vector<HeldVersion>& lacking) {
-    News news;
-    news.answer = true;
+void RecordReplicator::sendRecords(int linkId, const std::vector<HeldVersion>& lacking) {
+    UpdateBatch batch;
+    batch.isReply = true;
     std::size_t bytes = 0;
     auto flush = [&] {
-        if (!news.records.empty()) send_(number, news.toJson());
-        news.records.clear();
+        if (!batch.records.empty()) send_(linkId, batch.toJson());
+        batch.records.clear();
         bytes = 0;
     };
     for (const HeldVersion& each : lacking) {
-        const Record* record = board_.find(each.name);
+        const Record* record = recordTable_.find(each.name);
         if (!record || record->version <= each.version) continue;
         RecordUpdate update = updateFrom(each.name, *record, each.version);
         const std::size_t size = update.toJson().dump().size();
-        if (bytes + size > pieceBytes) flush();
+        if (bytes + size > targetMessageBytes) flush();
         bytes += size;
-        news.records.push_back(std::move(update));
+        batch.records.push_back(std::move(update));
     }
     flush();
 }
 
-// A peer that has nothing better may serve from these until it is in contact.
-void Gossip::sendUnconfirmed(int number) {
+// A peer that holds nothing better may serve from these until it has contact.
+void RecordReplicator::sendUnconfirmed(int linkId) {
     std::vector<HeldVersion> names;
-    for (const std::string& name : lifetimes_.unconfirmed()) names.push_back({name, {}});
-    sendRecords(number, names);
+    for (const std::string& name : expiry_.unconfirmed()) names.push_back({name, {}});
+    sendRecords(linkId, names);
 }
 
-bool Gossip::put(const std::string& name, Record record, int from) {
+bool RecordReplicator::put(const std::string& name, Record record, int from) {
     return apply(name, std::move(record), nullptr, 0, from);
 }
 
-bool Gossip::apply(const std::string& name, Record record, const Json* patch, Nanos age, int from) {
-    const Record* known = board_.find(name);
+bool RecordReplicator::apply(const std::string& name, Record record, const Json* patch, Nanos age, int from) {
+    const Record* known = recordTable_.find(name);
     const Record before = known ? *known : Record();
-    if (known && record.version == known->version) lifetimes_.confirm(name);
-    // One that is held and unconfirmed has no standing against one that a peer holds for certain.
-    if (lifetimes_.unconfirmed().count(name)) board_.forget(name);
-    if (!board_.put(name, std::move(record))) return false;
-    lifetimes_.confirm(name);
-    const Record& stands = *board_.find(name);
-    if (stands.body.is_null()) {
-        lifetimes_.buried(name, now_, age);
-        renewals_.gone(name);
+    if (known && record.version == known->version) expiry_.confirm(name);
+    // An unconfirmed version gives way to any confirmed one, also to a lower one.
+    if (expiry_.unconfirmed().count(name)) recordTable_.erase(name);
+    if (!recordTable_.put(name, std::move(record))) return false;
+    expiry_.confirm(name);
+    const Record& current = *recordTable_.find(name);
+    if (current.body.is_null()) {
+        expiry_.addTombstone(name, now_, age);
+        renewals_.erase(name);
     } else {
-        lifetimes_.unburied(name);
-        renewals_.came(name, now_);
+        expiry_.removeTombstone(name);
+        renewals_.received(name, now_);
     }
-    const Json change = patch ? *patch : links_.empty() ? Json() : shorter(before.body, stands.body);
-    history_.changed(name, before.version, stands.version, change);
-    onNews_(name, stands);
-    RecordUpdate update = whole(name, stands);
+    const Json change = patch ? *patch : links_.empty() ? Json() : patchIfSmaller(before.body, current.body);
+    history_.add(name, before.version, current.version, change);
+    onUpdate_(name, current);
+    RecordUpdate update = fullUpdate(name, current);
     if (!change.is_null()) {
-        update.from = before.version;
+        update.baseVersion = before.version;
         update.body = change;
     }
-    tell(update, from);
-    const auto mine = owned_.find(name);
-    if (from != 0 && mine != owned_.end() && mine->second != board_.find(name)->body) own(name, mine->second);
+    forward(update, from);
+    const auto own = owned_.find(name);
+    if (from != 0 && own != owned_.end() && own->second != recordTable_.find(name)->body)
+        publish(name, own->second);
     return true;
 }
 
-void Gossip::tell(const RecordUpdate& update, int from) {
-    News news;
-    news.records.push_back(update);
-    const Json message = news.toJson();
+void RecordReplicator::forward(const RecordUpdate& update, int from) {
+    UpdateBatch batch;
+    batch.records.push_back(update);
+    const Json message = batch.toJson();
     const auto origin = links_.find(from);
-    const std::string teller = origin == links_.end() ? std::string() : origin->second.peer;
-    for (const auto& [number, link] : links_) {
-        const bool back = number == from || (!teller.empty() && link.peer == teller);
-        if (link.carries && !back) send_(number, message);
+    const std::string sender = origin == links_.end() ? std::string() : origin->second.peer;
+    for (const auto& [linkId, link] : links_) {
+        const bool returnsToSender = linkId == from || (!sender.empty() && link.peer == sender);
+        if (link.carriesUpdates && !returnsToSender) send_(linkId, message);
     }
 }
 
-void Gossip::own(const std::string& name, const Json& body) {
+void RecordReplicator::publish(const std::string& name, const Json& body) {
     owned_[name] = body;
-    const Record* stands = board_.find(name);
-    if (stands && stands->body == body) return;
-    put(name, {{stands ? stands->version.major + 1 : 1, hashOfBody(body)}, body});
+    const Record* current = recordTable_.find(name);
+    if (current && current->body == body) return;
+    put(name, {{current ? current->version.major + 1 : 1, hashOfBody(body)}, body});
 }
 
-void Gossip::heard(int number, const Json& message) {
-    const auto at = links_.find(number);
+void RecordReplicator::receive(int linkId, const Json& message) {
+    const auto it = links_.find(linkId);
     const std::string kind = message.at("k");
-    if (at != links_.end()) {
-        at->second.aliveAt = now_;
-        // Changes that go on coming are no answer to an exchange.
-        if (kind != News::kind) at->second.answeredAt = now_;
+    if (it != links_.end()) {
+        it->second.lastReceivedAt = now_;
+        // Forwarded changes keep arriving whether or not the exchange makes progress.
+        if (kind != UpdateBatch::kind) it->second.lastProgressAt = now_;
     }
-    if (kind == News::kind || kind == News::kindOfAnswer) return take(number, News::fromJson(message));
-    if (at == links_.end()) return;
-    if (kind == Digest::kind) return take(number, Digest::fromJson(message));
-    if (kind == Inventory::kind) return take(number, Inventory::fromJson(message));
-    if (kind == Want::kind) return take(number, Want::fromJson(message));
-    if (kind == Sent::kind) {
-        at->second.wants.erase(Sent::fromJson(message).number);
+    if (kind == UpdateBatch::kind || kind == UpdateBatch::replyKind)
+        return handle(linkId, UpdateBatch::fromJson(message));
+    if (it == links_.end()) return;
+    if (kind == Digest::kind) return handle(linkId, Digest::fromJson(message));
+    if (kind == Inventory::kind) return handle(linkId, Inventory::fromJson(message));
+    if (kind == RecordRequest::kind) return handle(linkId, RecordRequest::fromJson(message));
+    if (kind == RecordsSent::kind) {
+        it->second.openRequests.erase(RecordsSent::fromJson(message).number);
         return;
     }
-    if (kind != Complete::kind) return;
-    const Complete done = Complete::fromJson(message);
-    lifetimes_.peerContact(now_, done.contactAge_ms * nanosInMilli);
-    if (done.exchange == at->second.exchange) at->second.awaiting = false;
+    if (kind != ExchangeComplete::kind) return;
+    const ExchangeComplete done = ExchangeComplete::fromJson(message);
+    expiry_.peerConnectivity(now_, done.connectivityAge_ms * nanosecondsPerMillisecond);
+    if (done.exchange == it->second.exchange) it->second.awaitingRecords = false;
 }
 
-void Gossip::take(int number, const News& news) {
-    for (const RecordUpdate& each : news.records) takeUpdate(number, each);
+void RecordReplicator::handle(int linkId, const UpdateBatch& batch) {
+    for (const RecordUpdate& each : batch.records) handleUpdate(linkId, each);
 }
 
-void Gossip::takeUpdate(int number, const RecordUpdate& update) {
-    const Record* known = board_.find(update.name);
-    const Nanos age = update.age_ms * nanosInMilli;
+void RecordReplicator::handleUpdate(int linkId, const RecordUpdate& update) {
+    const Record* known = recordTable_.find(update.name);
+    const Nanos age = update.age_ms * nanosecondsPerMillisecond;
     if (update.unconfirmed) {
-        if (inContact_ || known || owned_.count(update.name)) return;
-        lifetimes_.doubt(update.name);
-        board_.put(update.name, {update.version, update.body});
-        onNews_(update.name, *board_.find(update.name));
+        if (connected_ || known || owned_.count(update.name)) return;
+        expiry_.markUnconfirmed(update.name);
+        recordTable_.put(update.name, {update.version, update.body});
+        onUpdate_(update.name, *recordTable_.find(update.name));
         return;
     }
-    if (!update.from) {
-        if (update.body.is_null() && age >= tombstoneLife) return;
-        apply(update.name, {update.version, update.body}, nullptr, age, number);
+    if (!update.baseVersion) {
+        if (update.body.is_null() && age >= tombstoneLifetime) return;
+        apply(update.name, {update.version, update.body}, nullptr, age, linkId);
         return;
     }
-    if (known && known->version == update.version) lifetimes_.confirm(update.name);
-    const Version held = standing(update.name);
+    if (known && known->version == update.version) expiry_.confirm(update.name);
+    const Version held = confirmedVersion(update.name);
     if (held >= update.version) return;
-    if (known && held == *update.from) {
-        apply(update.name, {update.version, known->body.patch(update.body)}, &update.body, 0, number);
+    if (known && held == *update.baseVersion) {
+        apply(update.name, {update.version, known->body.patch(update.body)}, &update.body, 0, linkId);
         return;
     }
-    // What the exchange or an open question brings need not be asked for.
-    const auto at = links_.find(number);
-    if (at == links_.end() || at->second.awaiting || wanted(at->second, update.name)) return;
-    want(number, {{update.name, held}});
+    // A record that the exchange or an open request will bring need not be requested.
+    const auto it = links_.find(linkId);
+    if (it == links_.end() || it->second.awaitingRecords || isRequested(it->second, update.name)) return;
+    requestRecords(linkId, {{update.name, held}});
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/record_table.cpp
+++ b/src/gossip/record_table.cpp
@@ -4,24 +4,24 @@
 
 namespace granitereel::gossip {
 
-bool Board::put(const std::string& name, Record record) {
-    auto [at, fresh] = records_.try_emplace(name);
-    if (!fresh && record.version <= at->second.version) return false;
-    at->second = std::move(record);
+bool RecordTable::put(const std::string& name, Record record) {
+    auto [it, inserted] = records_.try_emplace(name);
+    if (!inserted && record.version <= it->second.version) return false;
+    it->second = std::move(record);
     return true;
 }
 
-const Record* Board::find(const std::string& name) const {
-    const auto at = records_.find(name);
-    return at == records_.end() ? nullptr : &at->second;
+const Record* RecordTable::find(const std::string& name) const {
+    const auto it = records_.find(name);
+    return it == records_.end() ? nullptr : &it->second;
 }
 
-Json shorter(const Json& was, const Json& now) {
-    if (!was.is_object() || !now.is_object()) return nullptr;
-    const std::size_t whole = now.dump().size();
-    if (whole < 1024) return nullptr;
-    Json patch = difference(was, now);
-    return patch.dump().size() < whole / 2 ? patch : Json();
+Json patchIfSmaller(const Json& before, const Json& after) {
+    if (!before.is_object() || !after.is_object()) return nullptr;
+    const std::size_t fullSize = after.dump().size();
+    if (fullSize < 1024) return nullptr;
+    Json patch = jsonDiff(before, after);
+    return patch.dump().size() < fullSize / 2 ? patch : Json();
 }
 
 }  // namespace granitereel::gossip
--- a/src/gossip/record_table.hpp
+++ b/src/gossip/record_table.hpp
@@ -1,6 +1,6 @@
-// What every process of the system knows of the others: records under names, each with a version that only
-// grows. Of two bodies of a record the higher version holds, wherever it comes from and in whatever order; so
-// a board is brought up to date by whatever it lacks, in any order, and by any of it twice. Free of I/O.
+// The state that all processes of the system share: a table of named records, each with a version that only
+// grows. Of two bodies of a record the one with the higher version wins, whichever process it comes from. An
+// update is therefore idempotent, and updates may be applied in any order. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,31 +21,33 @@
 
 struct Record {
     Version version;
-    Json body;  // null: a tombstone, the record was taken down
+    Json body;  // null: a tombstone, the record was deleted
 };
 
-class Board {
+class RecordTable {
 public:
-    // Whether this was news: the record was unknown or of a lower version.
+    // Returns whether the table changed: the record was unknown or had a lower version. Never replaces a
+    // record by an equal or lower version, so that a delayed or repeated message can't undo a later change.
     bool put(const std::string& name, Record record);
+    // nullptr: not in the table.
     const Record* find(const std::string& name) const;
-    // Calls `each(name, record)` for the records whose names begin so, in order of names.
-    template <class Each>
-    void under(const std::string& prefix, Each each) const {
-        for (auto at = records_.lower_bound(prefix); at != records_.end() && at->first.starts_with(prefix);
-             ++at)
-            each(at->first, at->second);
+    // Calls `visit(name, record)` for the records whose names start with `prefix`, ordered by name.
+    template <class Visit>
+    void forEachWithPrefix(const std::string& prefix, Visit visit) const {
+        for (auto it = records_.lower_bound(prefix); it != records_.end() && it->first.starts_with(prefix);
+             ++it)
+            visit(it->first, it->second);
     }
     const std::map<std::string, Record>& all() const { return records_; }
-    // Drops a record altogether; an older body of it would be news again.
-    void forget(const std::string& name) { records_.erase(name); }
+    // Removes a record together with its version: any version of it would be accepted again afterwards.
+    void erase(const std::string& name) { records_.erase(name); }
 
 private:
     std::map<std::string, Record> records_;
 };
 
-// The difference between two bodies as a patch (RFC 6902), or null where it is not much shorter than the
-// whole.
-Json shorter(const Json& was, const Json& now);
+// The difference between two bodies as a patch (RFC 6902); null where the patch would not be much shorter
+// than the body itself.
+Json patchIfSmaller(const Json& before, const Json& after);
 
 }  // namespace granitereel::gossip
--- a/src/json.cpp
+++ b/src/json.cpp
@@ -1,2 +1,2 @@
-// Boost.JSON's bodies, compiled once.
+// Compiles the implementation of Boost.JSON, once for all programs.
 #include <boost/json/src.hpp>
--- a/src/proxy/news.cpp
+++ b/src/proxy/news.cpp
@@ -17,27 +17,27 @@
     agent_ = true;
     askedAt_ = 0;
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(agentLink, gossip::Side::dialler);
+    gossip_.addLink(agentLink, gossip::Side::dialler);
     settle();
 }
 
 void Pooler::agentDown() {
     agent_ = false;
-    gossip_.leave(agentLink);
-    leaseQuestions_.forget();
+    gossip_.removeLink(agentLink);
+    leaseQuestions_.clear();
 }
 
 void Pooler::agentSaid(const Json& message, Nanos now) {
     begin(now);
     const std::string kind = message.at("k");
     gossip_.advance(now, lease_.valid(now));
-    if (gossip::isGossip(kind)) {
-        gossip_.heard(agentLink, message);
+    if (gossip::isGossipMessage(kind)) {
+        gossip_.receive(agentLink, message);
     } else if (kind == gossip::LeaseReply::kind) {
         const gossip::LeaseReply reply = gossip::LeaseReply::fromJson(message);
-        const auto asked = leaseQuestions_.answered(reply.number);
+        const auto asked = leaseQuestions_.complete(reply.number);
         if (!asked) return settle();
-        lease_.granted(*asked, reply, toldBeforeLease(reply));
+        lease_.applyReply(*asked, reply, toldBeforeLease(reply));
         for (auto& [name, of] : services_)
             if (provable(*of)) of->evidence.settledUntil(lease_.until());
         judgeUnproven();
@@ -47,12 +47,12 @@
 
 // Whether all is here that the agent held when it gave the lease.
 bool Pooler::toldBeforeLease(const gossip::LeaseReply& reply) {
-    if (!gossip_.complete(agentLink)) return false;
-    const std::uint64_t held = gossip::configurationVersion(gossip_.board());
-    if (held >= reply.configuration) return true;
+    if (!gossip_.isComplete(agentLink)) return false;
+    const std::uint64_t held = gossip::configurationVersion(gossip_.recordTable());
+    if (held >= reply.configurationVersion) return true;
     reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and the agent holds " +
-                                       std::to_string(reply.configuration));
-    gossip_.exchangeAnew(agentLink);
+                                       std::to_string(reply.configurationVersion));
+    gossip_.restartExchange(agentLink);
     return false;
 }
 
@@ -69,8 +69,8 @@
         leadNews(name.substr(5), record.body);
     } else if (name.starts_with("front/")) {
         int fronts = 0;
-        gossip_.board().under("front/",
-                              [&](auto&, const gossip::Record& r) { fronts += r.body.is_object(); });
+        gossip_.recordTable().forEachWithPrefix(
+            "front/", [&](auto&, const gossip::Record& r) { fronts += r.body.is_object(); });
         fronts_ = std::max(1, fronts);
         front_.present(fronts_);
     }
@@ -80,14 +80,14 @@
     // Of what stands on the board only higher versions come here; what was once in force is never gone back
     // from.
     const std::uint64_t before = configuration_.edition;
-    configuration_ = configuration::read(body);
+    configuration_ = configuration::parse(body);
     if (configured_ && configuration_.edition <= before)
         reportBroken(configurationsRise_,
                      std::to_string(configuration_.edition) + " after " + std::to_string(before));
     if (!std::exchange(configured_, true)) configuredAt_ = now_;
     for (const configuration::Service& each : configuration_.services) {
         Service& of = service(each.name);
-        of.berthCap = each.berthCap;
+        of.berthCap = each.connectionLimit;
         of.syncReplicas = each.syncReplicas;
     }
     outputs_.push_back(ToLog{"configuration " + std::to_string(configuration_.edition) + " in force"});
@@ -195,7 +195,7 @@
 
 // A front whose record may have been taken down has no share any more but for one connection.
 int Pooler::share(const Service& of) const {
-    if (now_ - std::max(lease_.until(), startedAt_) > gossip::presumedGoneAfter) return 1;
+    if (now_ - std::max(lease_.until(), startedAt_) > gossip::presumedExpiredAfter) return 1;
     // Some are left to control, which asks stores how they are.
     return of.berthCap == 0 ? 64 : std::max(1, (of.berthCap - 2) / fronts_);
 }
--- a/src/proxy/pooler.cpp
+++ b/src/proxy/pooler.cpp
@@ -127,7 +127,7 @@
 void Pooler::tick(Nanos now) {
     begin(now);
     gossip_.advance(now, lease_.valid(now));
-    if (auto line = contact_.seen(lease_.until(), now)) log(*line);
+    if (auto line = contact_.update(lease_.until(), now)) log(*line);
     askForLease();
     if (now >= wakeAt_) front_.woke(0);
     settle();
@@ -152,7 +152,7 @@
 void Pooler::askForLease() {
     if (!agent_ || now_ - askedAt_ < leaseAskEvery) return;
     askedAt_ = now_;
-    outputs_.push_back(ToAgent{gossip::LeaseRequest{leaseQuestions_.ask(now_)}.toJson()});
+    outputs_.push_back(ToAgent{gossip::LeaseRequest{leaseQuestions_.start(now_)}.toJson()});
 }
 
 void Pooler::sweepLine(Line& line) {
@@ -175,8 +175,9 @@
 // Rolls back a transaction that rests for too long, or past the first half of the time to end.
 void Pooler::endRest(Session& s, Line& line) {
     if (!s.tx || !s.tx->begun) return;
-    const bool rests = configuration_.txIdle_ms > 0 && now_ - s.restsSince > millis(configuration_.txIdle_ms);
-    const bool ends = leaving_ && now_ - leftAt_ > millis(settings_.grace_ms / 2);
+    const bool rests = configuration_.transactionIdleTimeout_ms > 0 &&
+                       now_ - s.restsSince > millis(configuration_.transactionIdleTimeout_ms);
+    const bool ends = leaving_ && now_ - leftAt_ > millis(settings_.shutdownGrace_ms / 2);
     if (!rests && !ends) return;
     release(line, "-");
     s.line = nullptr;
@@ -201,7 +202,7 @@
 
 // Ends sessions at rest, and all of them shortly before the time to end is over.
 void Pooler::endLeaving() {
-    const bool all = now_ - leftAt_ > millis(settings_.grace_ms - 500);
+    const bool all = now_ - leftAt_ > millis(settings_.shutdownGrace_ms - 500);
     std::vector<int> rest;
     for (auto& [client, s] : sessions_) {
         const bool atRest = !s->op && ((s->state == 'I' && s->queue.empty()) || s->state == 'E');
--- a/src/proxy/program.cpp
+++ b/src/proxy/program.cpp
@@ -30,16 +30,20 @@
           pooler_(settings, std::random_device{}(), steadyNow()),
           ticker_(loop_),
           signals_(loop_, SIGTERM, SIGINT, SIGHUP),
-          clientsMost_(static_cast<std::size_t>(std::max(16, settings.fileHandles * 3 / 4 - 200))),
-          listener_(loop_, transport::endpointOf(settings.frontAddress),
+          clientsMost_(static_cast<std::size_t>(std::max(16, settings.maxFileHandles * 3 / 4 - 200))),
+          listener_(loop_, transport::endpointOf(settings.proxyListenAddress),
                     [this](auto stream) { client(std::move(stream)); }),
-          ready_(
-              loop_, transport::endpointOf(settings.readyAddress), 4096,
-              [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-                     const std::string&) {
-                  const bool place = path.size() == 1 && path[0] == "ready";
-                  ready_.answer(call, !place ? 404 : method != "GET" ? 405 : pooler_.ready() ? 200 : 503, "");
-              }) {}
+          ready_(loop_, transport::endpointOf(settings.readinessListenAddress), 4096,
+                 [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
+                        const std::string&) {
+                     const bool place = path.size() == 1 && path[0] == "ready";
+                     ready_.respond(call,
+                                    !place            ? 404
+                                    : method != "GET" ? 405
+                                    : pooler_.ready() ? 200
+                                                      : 503,
+                                    "");
+                 }) {}
 
     int run() {
         listen();
@@ -61,7 +65,7 @@
                 }
             } else {
                 spdlog::info("leaving: {} sessions", pooler_.sessions());
-                endAt_ = steadyNow() + millis(settings_.grace_ms - 300);
+                endAt_ = steadyNow() + millis(settings_.shutdownGrace_ms - 300);
                 leftAt_ = steadyNow();
                 pooler_.leave(steadyNow());
                 carryOut();
@@ -110,7 +114,7 @@
         };
         const transport::tcp::endpoint where{asio::ip::make_address_v4("127.0.0.1"),
                                              static_cast<unsigned short>(settings_.firstPort + 1)};
-        *made = Stream::to(loop_, where, 1000, [this, made, again] {
+        *made = Stream::connect(loop_, where, 1000, [this, made, again] {
             agent_ = std::make_shared<transport::Link>(*made);
             made->reset();
             agent_->start(
@@ -165,7 +169,7 @@
         const auto at = clients_.find(out.client);
         if (at == clients_.end()) return;
         at->second->send(out.bytes);
-        if (at->second->unsent() > unsentMost) {
+        if (at->second->unsentBytes() > unsentMost) {
             const auto slow = at->second;
             clients_.erase(at);
             slow->close();
@@ -180,11 +184,11 @@
     }
     void carry(HoldClient& out) {
         const auto at = clients_.find(out.client);
-        if (at != clients_.end()) at->second->hold(out.on);
+        if (at != clients_.end()) at->second->setReadingPaused(out.on);
     }
     void carry(OpenLine& out) {
         const int no = out.line;
-        auto stream = Stream::to(loop_, transport::endpointOf(out.address), 2000, [this, no] {
+        auto stream = Stream::connect(loop_, transport::endpointOf(out.address), 2000, [this, no] {
             pooler_.lineOpened(no, steadyNow());
             carryOut();
         });
@@ -236,7 +240,7 @@
 }  // namespace
 
 int serve(const settings::Settings& settings, const std::string& settingsPath) {
-    if (settings.frontAddress.empty() || settings.readyAddress.empty())
+    if (settings.proxyListenAddress.empty() || settings.readinessListenAddress.empty())
         throw settings::InvalidSettings("the proxy needs 'listen_on.front_addr' and 'listen_on.ready_addr'");
     return Program(settings, settingsPath).run();
 }
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -6,7 +6,7 @@
 namespace granitereel::proxy {
 
 bool Pooler::provable(const Service& of) const {
-    return of.steady && lease_.valid(now_) && lease_.settles(of.name, of.seq);
+    return of.steady && lease_.valid(now_) && lease_.isSettled(of.name, of.seq);
 }
 
 // Whether the statement may run there, behind which position, and whether only with proof of the lead at
@@ -22,14 +22,14 @@
     const Service& of = *store.service;
     const bool leads = of.lead == store.id;
     if (leads && provable(of)) return true;
-    if (route->mode == configuration::Mode::headOffice) {
+    if (route->mode == configuration::ReadMode::primary) {
         guarded = true;
         return leads;
     }
     const Nanos came = s.tx ? s.tx->came : op.came;
     const Nanos since = came - millis(route->staleness_ms);
     std::optional<Mark> need = of.horizon.covering(since);
-    if (route->mode == configuration::Mode::own && s.own) {
+    if (route->mode == configuration::ReadMode::ownWrites && s.own) {
         // A position of an earlier term may have been cut back with others' commits; this term's own cover
         // it.
         if (s.own->term < of.term)
--- a/src/proxy/statements.cpp
+++ b/src/proxy/statements.cpp
@@ -15,10 +15,10 @@
 int Pooler::laneOf(const configuration::Route& route, bool writes, bool transaction) {
     Lane lane;
     const bool plain = writes;
-    lane.need = plain                                           ? Need::write
-                : route.mode == configuration::Mode::headOffice ? Need::fresh
-                : route.mode == configuration::Mode::ageBounded ? Need::bounded
-                                                                : Need::session;
+    lane.need = plain                                                     ? Need::write
+                : route.mode == configuration::ReadMode::primary          ? Need::fresh
+                : route.mode == configuration::ReadMode::boundedStaleness ? Need::bounded
+                                                                          : Need::session;
     lane.effect = plain || transaction ? Effect::oneShot : Effect::harmless;
     lane.goalTime = millis(route.target_ms);
     lane.cutOff = millis(route.deadline_ms);
@@ -66,8 +66,9 @@
     s.op->key = std::to_string(++keyNo_);
     byKey_[s.op->key] = &s;
     const Nanos seen = std::max(s.ownAt, now_ - millis(route->staleness_ms));
-    front_.take(s.op->key, s.op->lane, "", millis(route->deadline_ms), service(route->service).group,
-                route->mode == configuration::Mode::own ? std::optional<Nanos>(now_ - seen) : std::nullopt);
+    front_.take(
+        s.op->key, s.op->lane, "", millis(route->deadline_ms), service(route->service).group,
+        route->mode == configuration::ReadMode::ownWrites ? std::optional<Nanos>(now_ - seen) : std::nullopt);
 }
 
 void Pooler::launch(const std::string& key, const std::string& store, Nanos) {
--- a/src/proxy/witnesses.cpp
+++ b/src/proxy/witnesses.cpp
@@ -11,7 +11,7 @@
 // Whether the record of the lead is young enough to name every replica whose row could be all that a planned
 // change rests on.
 bool Pooler::restsOnRecord(const Service& of) const {
-    return now_ < of.evidence.settledUntil() + gossip::recordsRestedOnFor;
+    return now_ < of.evidence.settledUntil() + gossip::recordsUsableAfterLease;
 }
 
 bool Pooler::isKept(const Unproven& waits) const {
--- a/src/system.cpp
+++ b/src/system.cpp
@@ -1,5 +1,5 @@
-// The command line of the system: one program for its three processes, and the checks of what operators
-// write.
+// The command line of the system: one program for its three kinds of process, and the validation of the files
+// that operators write.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -18,28 +18,28 @@
 namespace {
 using namespace granitereel;
 
-int check(const std::string& settings, const std::vector<std::string>& files) {
-    int faults = 0;
+int checkFiles(const std::string& settings, const std::vector<std::string>& files) {
+    int errors = 0;
     if (!settings.empty()) try {
-            const auto read = settings::read(settings);
-            std::cout << settings << ": sound, station " << read.station << "\n";
-        } catch (const settings::InvalidSettings& fault) {
-            std::cerr << settings << ": " << fault.what() << "\n";
-            ++faults;
+            const auto parsed = settings::read(settings);
+            std::cout << settings << ": valid, station " << parsed.station << "\n";
+        } catch (const settings::InvalidSettings& error) {
+            std::cerr << settings << ": " << error.what() << "\n";
+            ++errors;
         }
     for (const std::string& file : files) try {
-            std::ifstream in(file);
-            if (!in) throw configuration::Invalid("can't be read");
+            std::ifstream input(file);
+            if (!input) throw configuration::InvalidConfiguration("can't be read");
             std::stringstream text;
-            text << in.rdbuf();
-            const auto read = configuration::read(text.str());
-            std::cout << file << ": sound, edition " << read.edition << ", " << read.routes.size()
+            text << input.rdbuf();
+            const auto parsed = configuration::parse(text.str());
+            std::cout << file << ": valid, edition " << parsed.edition << ", " << parsed.routes.size()
                       << " routes\n";
-        } catch (const configuration::Invalid& fault) {
-            std::cerr << file << ": " << fault.what() << "\n";
-            ++faults;
+        } catch (const configuration::InvalidConfiguration& error) {
+            std::cerr << file << ": " << error.what() << "\n";
+            ++errors;
         }
-    return faults ? 2 : 0;
+    return errors ? 2 : 0;
 }
 }  // namespace
 
@@ -47,55 +47,58 @@
     cxxopts::Options options("granitereel-system",
                              "granitereel, the whole system: a database pooler with failover");
     options.positional_help("proxy | agent | control | check [CONFIGURATION...]");
-    options.add_options()(
-        "command", "proxy: serves clients; agent: beside it; control: keeps the state; check: checks files",
-        cxxopts::value<std::string>())("files", "configurations to be checked",
-                                       cxxopts::value<std::vector<std::string>>())(
-        "settings", "the settings file; else GRANITEREEL_BOOT", cxxopts::value<std::string>())(
-        "hollow", "agent without a proxy beside it, for runs of many on one machine")("h,help", "shows this")(
-        "version", "shows the version");
+    options.add_options()("command",
+                          "proxy: serves clients; agent: runs beside a proxy; control: keeps the system's "
+                          "state; check: validates files",
+                          cxxopts::value<std::string>())("files", "configuration files to validate",
+                                                         cxxopts::value<std::vector<std::string>>())(
+        "settings", "the settings file; default: the path in GRANITEREEL_BOOT",
+        cxxopts::value<std::string>())(
+        "hollow", "agent: run without a proxy beside it, for many agents on one machine")(
+        "h,help", "show this help")("version", "show the version");
     options.parse_positional({"command", "files"});
     try {
-        const auto told = options.parse(argc, argv);
-        if (told.count("help")) {
+        const auto arguments = options.parse(argc, argv);
+        if (arguments.count("help")) {
             std::cout << options.help();
             return 0;
         }
-        if (told.count("version")) {
+        if (arguments.count("version")) {
             std::cout << "granitereel-system " << GRANITEREEL_VERSION << "\n";
             return 0;
         }
-        const std::string command = told.count("command") ? told["command"].as<std::string>() : "";
+        const std::string command = arguments.count("command") ? arguments["command"].as<std::string>() : "";
         const std::string path =
-            told.count("settings") ? told["settings"].as<std::string>() : settings::usualPath();
+            arguments.count("settings") ? arguments["settings"].as<std::string>() : settings::defaultPath();
         if (command == "check") {
             std::vector<std::string> files;
-            if (told.count("files")) files = told["files"].as<std::vector<std::string>>();
-            if (files.empty() && !told.count("settings")) {
-                std::cerr << "check: names no file; see --help\n";
+            if (arguments.count("files")) files = arguments["files"].as<std::vector<std::string>>();
+            if (files.empty() && !arguments.count("settings")) {
+                std::cerr << "check: no file given; see --help\n";
                 return 2;
             }
-            return check(told.count("settings") ? path : "", files);
+            return checkFiles(arguments.count("settings") ? path : "", files);
         }
-        if (told.count("files")) throw std::invalid_argument("'" + command + "' takes no files");
+        if (arguments.count("files")) throw std::invalid_argument("'" + command + "' takes no files");
         spdlog::set_default_logger(spdlog::stdout_logger_st(command));
         spdlog::set_pattern("%H:%M:%S.%e %l %v");
         spdlog::flush_on(spdlog::level::info);
-        // Until a process has its own handler the signal must not end it.
+        // Ignored until the process has installed its own handler: the default action would end it.
         std::signal(SIGHUP, SIG_IGN);
         if (command == "proxy") return proxy::serve(settings::read(path), path);
-        if (command == "agent") return agent::serve(settings::read(path), path, told.count("hollow") > 0);
+        if (command == "agent")
+            return agent::serve(settings::read(path), path, arguments.count("hollow") > 0);
         if (command == "control") return control::serve(settings::read(path), path);
-        std::cerr << "no such command: '" << command << "'; see --help\n";
+        std::cerr << "unknown command: '" << command << "'; see --help\n";
         return 2;
-    } catch (const settings::InvalidSettings& fault) {
-        std::cerr << "settings: " << fault.what() << "\n";
+    } catch (const settings::InvalidSettings& error) {
+        std::cerr << "settings: " << error.what() << "\n";
         return 2;
-    } catch (const cxxopts::exceptions::exception& fault) {
-        std::cerr << fault.what() << "; see --help\n";
+    } catch (const cxxopts::exceptions::exception& error) {
+        std::cerr << error.what() << "; see --help\n";
         return 2;
-    } catch (const std::exception& fault) {
-        std::cerr << "can't serve: " << fault.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "fatal: " << error.what() << "\n";
         return 1;
     }
 }
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as stores, the operator and the platform speak it, on Boost.Beast.
+// HTTP/1.1 server and client on Boost.Beast, for stores, the operator and the platform.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,36 +13,40 @@
 
 namespace granitereel::transport {
 
-// Answers calls at an address; each call gets its answer by its number, in the caller's time.
+// Serves requests at an address. Each request has a number, by which the owner responds to it at any later
+// time.
 class HttpServer {
 public:
-    // `path`: by segments, without what stands behind a question mark.
-    using OnCall = std::function<void(std::uint64_t call, const std::string& method,
-                                      const std::vector<std::string>& path, const std::string& body)>;
+    // `path`: its segments, without the query.
+    using OnRequest = std::function<void(std::uint64_t request, const std::string& method,
+                                         const std::vector<std::string>& path, const std::string& body)>;
     // Throws boost::system::system_error where it can't listen.
-    HttpServer(asio::io_context& loop, const tcp::endpoint& where, std::size_t bodyLimit, OnCall onCall);
+    HttpServer(asio::io_context& loop, const tcp::endpoint& endpoint, std::size_t bodyLimit,
+               OnRequest onRequest);
     ~HttpServer();
-    // `body` empty: none. `location` empty: no such header. Calls whose caller has gone are passed over.
-    void answer(std::uint64_t call, int status, const std::string& body, const std::string& location = {});
+    // `body` empty: no body. `location` empty: no such header. Ignored where the client has disconnected.
+    void respond(std::uint64_t request, int status, const std::string& body,
+                 const std::string& location = {});
     void stop();
 
 private:
     struct Session;
     void accept();
     tcp::acceptor acceptor_;
-    asio::steady_timer pause_;
+    asio::steady_timer retryTimer_;
     std::size_t bodyLimit_;
-    OnCall onCall_;
-    std::uint64_t nextCall_ = 1;
-    std::unordered_map<std::uint64_t, std::weak_ptr<Session>> open_;
+    OnRequest onRequest_;
+    std::uint64_t nextRequest_ = 1;
+    std::unordered_map<std::uint64_t, std::weak_ptr<Session>> pending_;
 };
 
-// One call over a connection of its own, sent once. `done` gets the status, or noAnswer or notSent
-// (transport/call_status.hpp). `mayLeave` is asked right before the request is written. A call that ends
-// without an answer is reset, so that what the system still held of it is dropped.
+// Sends one request over a connection of its own, at most once. `done` gets the status, or noResponse or
+// notSent (transport/call_status.hpp). `maySend` is called right before the request is written; where it
+// returns false, nothing is sent. The connection of a call that ends without a response is reset, so that the
+// kernel drops what it has not delivered yet: a promotion must not arrive after its caller has given it up.
 void httpCall(
-    asio::io_context& loop, const tcp::endpoint& where, const std::string& method, const std::string& path,
-    const std::vector<std::pair<std::string, std::string>>& headers, const std::string& body, int within_ms,
-    std::function<void(int status)> done, std::function<bool()> mayLeave = [] { return true; });
+    asio::io_context& loop, const tcp::endpoint& endpoint, const std::string& method, const std::string& path,
+    const std::vector<std::pair<std::string, std::string>>& headers, const std::string& body, int timeout_ms,
+    std::function<void(int status)> done, std::function<bool()> maySend = [] { return true; });
 
 }  // namespace granitereel::transport
