--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -4,52 +4,53 @@
 
 namespace {
 // Above the largest configuration that an operator may send, which goes in one message.
-constexpr std::size_t longestLine = 32 * 1024 * 1024;
+constexpr std::size_t maxLineBytes = 32 * 1024 * 1024;
 }  // namespace
 
-std::string lineOf(const nlohmann::json& message) {
+std::string serializeLine(const nlohmann::json& message) {
     return message.dump() + "\n";
 }
 
 std::size_t Link::send(const Json& message) {
-    const std::string line = lineOf(message);
+    const std::string line = serializeLine(message);
     stream_->send(line);
     return line.size();
 }
 
 void Link::start(OnMessage onMessage, OnEnd onEnd) {
-    // The stream lives as long as the handler runs; the link may not, so nothing of it is held here.
+    // The stream outlives its handler, but the link may not: the handler must not refer to any member of it.
     const std::weak_ptr<Stream> weak = stream_;
-    const auto ended = std::make_shared<OnEnd>(std::move(onEnd));
-    auto end = [ended] {
-        if (auto told = std::exchange(*ended, nullptr)) told();
+    const auto sharedOnEnd = std::make_shared<OnEnd>(std::move(onEnd));
+    auto end = [sharedOnEnd] {
+        if (auto callback = std::exchange(*sharedOnEnd, nullptr)) callback();
     };
     stream_->start(
-        [onMessage = std::move(onMessage), end, weak](std::string_view all) -> std::size_t {
-            std::size_t used = 0;
-            for (std::size_t cut; (cut = all.find('\n', used)) != all.npos; used = cut + 1) {
+        [onMessage = std::move(onMessage), end, weak](std::string_view bytes) -> std::size_t {
+            std::size_t consumed = 0;
+            for (std::size_t lineEnd; (lineEnd = bytes.find('\n', consumed)) != bytes.npos;
+                 consumed = lineEnd + 1) {
                 const auto message =
-                    nlohmann::json::parse(all.begin() + used, all.begin() + cut, nullptr, false);
+                    nlohmann::json::parse(bytes.begin() + consumed, bytes.begin() + lineEnd, nullptr, false);
                 const auto stream = weak.lock();
-                if (!stream || !stream->open()) return all.size();
-                bool sound = message.is_object();
-                if (sound) try {
+                if (!stream || !stream->isOpen()) return bytes.size();
+                bool valid = message.is_object();
+                if (valid) try {
                         onMessage(message);
                     } catch (const nlohmann::json::exception&) {
-                        sound = false;
+                        valid = false;
                     }
-                if (!sound) {
+                if (!valid) {
                     stream->close();
                     end();
-                    return all.size();
+                    return bytes.size();
                 }
             }
-            if (all.size() - used > longestLine) {
+            if (bytes.size() - consumed > maxLineBytes) {
                 if (const auto stream = weak.lock()) stream->close();
                 end();
-                return all.size();
+                return bytes.size();
             }
-            return used;
+            return consumed;
         },
         [end](bool) { end(); });
 }
--- a/src/transport/link.hpp
+++ b/src/transport/link.hpp
@@ -1,5 +1,5 @@
-// What the system's processes say to each other: JSON objects, a line each, over a stream. A line that is no
-// JSON object ends the link: it is believed whole or not at all.
+// A message link between processes of the system: JSON objects, one per line, over a stream. A line that is
+// not a JSON object, or that its handler finds malformed, ends the link: no message is accepted in part.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -19,19 +19,19 @@
     Link(const Link&) = delete;
     Link& operator=(const Link&) = delete;
 
-    // The handlers may destroy the link only by way of `onEnd` or later than within `onMessage`.
+    // `onEnd` may destroy the link; `onMessage` must not, but may have it destroyed after it has returned.
     void start(OnMessage onMessage, OnEnd onEnd);
-    // Returns its bytes on the wire.
+    // Returns the number of bytes on the wire.
     std::size_t send(const Json& message);
-    // As it is on the wire; for what goes to many.
+    // Sends a message that is serialized already, as one that goes to many links.
     void sendLine(std::string_view line) { stream_->send(line); }
-    std::size_t unsent() const { return stream_->unsent(); }
+    std::size_t unsentBytes() const { return stream_->unsentBytes(); }
     void finish() { stream_->finish(); }
 
 private:
     std::shared_ptr<Stream> stream_;
 };
 
-std::string lineOf(const nlohmann::json& message);
+std::string serializeLine(const nlohmann::json& message);
 
 }  // namespace granitereel::transport
--- a/src/transport/steady_clock.hpp
+++ b/src/transport/steady_clock.hpp
@@ -1,5 +1,5 @@
-// The steady clock as the state machines are told it: nanoseconds that never jump. The time of day decides
-// nothing.
+// The monotonic clock of the state machines, in nanoseconds. The time of day is used for no decision, as it
+// may jump.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 namespace granitereel::transport {
 
 inline Nanos steadyNow() {
-    // Begins well above nought, which stands for never.
+    // Starts well above zero, which stands for "never".
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
                .count() +
--- a/src/transport/store_call.hpp
+++ b/src/transport/store_call.hpp
@@ -1,4 +1,4 @@
-// One statement of the system's own at a store, over a connection of its own.
+// Runs one statement of the system itself at a store, over a connection of its own.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,13 @@
 
 namespace granitereel::transport {
 
-// `done` gets the fields of the answer's row, or none where there was no whole answer in time, or an error.
-// The statement is sent once. `mayLeave` is asked right before it is written; where it says no, nothing is.
+// `done` gets the fields of the row in the response; nullopt where there was no complete response in time, or
+// an error. The statement is sent at most once. `maySend` is called right before that; where it returns
+// false, nothing is sent.
 void storeCall(
-    asio::io_context& loop, const tcp::endpoint& where, const std::string& service,
-    const std::string& storeId, const std::string& text, int within_ms,
+    asio::io_context& loop, const tcp::endpoint& endpoint, const std::string& service,
+    const std::string& storeId, const std::string& text, int timeout_ms,
     std::function<void(std::optional<std::string> row)> done,
-    std::function<bool()> mayLeave = [] { return true; });
+    std::function<bool()> maySend = [] { return true; });
 
 }  // namespace granitereel::transport
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 using boost::system::error_code;
-// One for all connections: bytes are copied on only where a message is not whole yet.
-std::array<char, 64 * 1024> shared;
+// One for all connections: only the bytes of an incomplete message are copied to the stream's own buffer.
+std::array<char, 64 * 1024> receiveBuffer;
 }  // namespace
 
 tcp::endpoint endpointOf(const std::string& address) {
@@ -32,104 +32,104 @@
 Stream::Stream(tcp::socket socket) : socket_(std::move(socket)), timer_(socket_.get_executor()) {}
 Stream::~Stream() = default;
 
-std::shared_ptr<Stream> Stream::over(tcp::socket socket) {
-    std::shared_ptr<Stream> made(new Stream(std::move(socket)));
-    made->opened(10'000);
-    return made;
+std::shared_ptr<Stream> Stream::accepted(tcp::socket socket) {
+    std::shared_ptr<Stream> stream(new Stream(std::move(socket)));
+    stream->established(10'000);
+    return stream;
 }
 
-std::shared_ptr<Stream> Stream::to(asio::io_context& loop, const tcp::endpoint& where, int within_ms,
-                                   std::function<void()> onOpen) {
-    std::shared_ptr<Stream> made(new Stream(tcp::socket(loop)));
-    made->timer_.expires_after(std::chrono::milliseconds(within_ms));
-    made->timer_.async_wait([weak = std::weak_ptr(made)](error_code ec) {
-        if (const auto self = weak.lock(); self && !ec && !self->open_) self->gone(false);
+std::shared_ptr<Stream> Stream::connect(asio::io_context& loop, const tcp::endpoint& endpoint, int timeout_ms,
+                                        std::function<void()> onOpen) {
+    std::shared_ptr<Stream> stream(new Stream(tcp::socket(loop)));
+    stream->timer_.expires_after(std::chrono::milliseconds(timeout_ms));
+    stream->timer_.async_wait([weak = std::weak_ptr(stream)](error_code ec) {
+        if (const auto self = weak.lock(); self && !ec && !self->open_) self->connectionLost(false);
     });
-    made->socket_.async_connect(where, [made, within_ms, onOpen = std::move(onOpen)](error_code ec) {
-        if (made->closed_) return;
-        made->timer_.cancel();
-        if (ec) return made->gone(true);
-        made->opened(within_ms);
+    stream->socket_.async_connect(endpoint, [stream, timeout_ms, onOpen = std::move(onOpen)](error_code ec) {
+        if (stream->closed_) return;
+        stream->timer_.cancel();
+        if (ec) return stream->connectionLost(true);
+        stream->established(timeout_ms);
         onOpen();
-        if (made->onBytes_) made->readMore();
-        made->flush();
+        if (stream->onBytes_) stream->read();
+        stream->flush();
     });
-    return made;
+    return stream;
 }
 
-void Stream::opened(int silence_ms) {
+void Stream::established(int timeout_ms) {
     open_ = true;
     error_code ignored;
     socket_.non_blocking(true, ignored);
     socket_.set_option(tcp::no_delay(true), ignored);
-    const unsigned value = static_cast<unsigned>(silence_ms);
+    const unsigned value = static_cast<unsigned>(timeout_ms);
     ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &value, sizeof value);
 }
 
 void Stream::start(OnBytes onBytes, OnEnd onEnd) {
     onBytes_ = std::move(onBytes);
     onEnd_ = std::move(onEnd);
-    if (open_) readMore();
+    if (open_) read();
 }
 
-void Stream::hold(bool on) {
-    held_ = on;
-    if (!on && open_) readMore();
+void Stream::setReadingPaused(bool paused) {
+    readingPaused_ = paused;
+    if (!paused && open_) read();
 }
 
-void Stream::readMore() {
-    if (reading_ || held_ || closed_) return;
+void Stream::read() {
+    if (reading_ || readingPaused_ || closed_) return;
     reading_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
         self->reading_ = false;
         if (self->closed_) return;
-        if (ec) return self->gone(false);
+        if (ec) return self->connectionLost(false);
         error_code failed;
-        const std::size_t n = self->socket_.read_some(asio::buffer(shared), failed);
-        if (failed == asio::error::would_block) return self->readMore();
-        if (failed) return self->gone(false);
+        const std::size_t received = self->socket_.read_some(asio::buffer(receiveBuffer), failed);
+        if (failed == asio::error::would_block) return self->read();
+        if (failed) return self->connectionLost(false);
         if (!self->finishing_) {
-            std::string_view all(shared.data(), n);
+            std::string_view bytes(receiveBuffer.data(), received);
             if (!self->in_.empty()) {
-                self->in_.append(all);
-                const std::size_t used = self->onBytes_(self->in_);
-                self->in_.erase(0, used);
-            } else if (const std::size_t used = self->onBytes_(all); used < n) {
-                self->in_.assign(all.substr(used));
+                self->in_.append(bytes);
+                const std::size_t consumed = self->onBytes_(self->in_);
+                self->in_.erase(0, consumed);
+            } else if (const std::size_t consumed = self->onBytes_(bytes); consumed < received) {
+                self->in_.assign(bytes.substr(consumed));
             }
             if (self->in_.empty() && self->in_.capacity() > 4096) std::string().swap(self->in_);
         }
-        self->readMore();
+        self->read();
     });
 }
 
 void Stream::send(std::string_view bytes) {
     if (closed_ || finishing_) return;
     out_.append(bytes);
-    if (flushing_ || waiting_ || !open_) return;
-    flushing_ = true;
+    if (flushScheduled_ || waitingToWrite_ || !open_) return;
+    flushScheduled_ = true;
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
-        self->flushing_ = false;
+        self->flushScheduled_ = false;
         self->flush();
     });
 }
 
 void Stream::flush() {
-    if (!open_ || closed_ || waiting_) return;
+    if (!open_ || closed_ || waitingToWrite_) return;
     while (written_ < out_.size()) {
         error_code ec;
         written_ += socket_.write_some(asio::buffer(out_.data() + written_, out_.size() - written_), ec);
         if (ec == asio::error::would_block) {
-            waiting_ = true;
+            waitingToWrite_ = true;
             socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
-                self->waiting_ = false;
+                self->waitingToWrite_ = false;
                 if (self->closed_) return;
-                if (failed) return self->gone(false);
+                if (failed) return self->connectionLost(false);
                 self->flush();
             });
             return;
         }
-        if (ec) return gone(false);
+        if (ec) return connectionLost(false);
     }
     out_.clear();
     written_ = 0;
@@ -145,8 +145,8 @@
     if (!open_) return close();
     finishing_ = true;
     onEnd_ = nullptr;
-    held_ = false;
-    readMore();
+    readingPaused_ = false;
+    read();
     flush();
     timer_.expires_after(std::chrono::seconds(1));
     timer_.async_wait([self = shared_from_this()](error_code) { self->close(); });
@@ -161,40 +161,40 @@
     socket_.close(ignored);
 }
 
-void Stream::gone(bool refused) {
-    auto told = std::move(onEnd_);
+void Stream::connectionLost(bool refused) {
+    auto onEnd = std::move(onEnd_);
     close();
-    if (told) told(refused);
+    if (onEnd) onEnd(refused);
 }
 
-Listener::Listener(asio::io_context& loop, const tcp::endpoint& where, OnStream onStream)
-    : acceptor_(loop), pause_(loop), onStream_(std::move(onStream)) {
-    acceptor_.open(where.protocol());
+Listener::Listener(asio::io_context& loop, const tcp::endpoint& endpoint, OnStream onStream)
+    : acceptor_(loop), retryTimer_(loop), onStream_(std::move(onStream)) {
+    acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(where);
+    acceptor_.bind(endpoint);
     acceptor_.listen(1024);
-    take();
+    accept();
 }
 
 void Listener::stop() {
     error_code ignored;
     acceptor_.close(ignored);
-    pause_.cancel();
+    retryTimer_.cancel();
 }
 
-void Listener::take() {
+void Listener::accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted) return;
         if (ec) {
-            // Out of descriptors, most likely: those who wait are taken when some are free again.
-            pause_.expires_after(std::chrono::milliseconds(20));
-            pause_.async_wait([this](error_code stopped) {
-                if (!stopped) take();
+            // Most likely out of file descriptors: waiting connections are accepted when some are free again.
+            retryTimer_.expires_after(std::chrono::milliseconds(20));
+            retryTimer_.async_wait([this](error_code stopped) {
+                if (!stopped) accept();
             });
             return;
         }
-        onStream_(Stream::over(std::move(socket)));
-        take();
+        onStream_(Stream::accepted(std::move(socket)));
+        accept();
     });
 }
 
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,5 +1,5 @@
-// A TCP connection on the loop's one thread: what arrives is handed on as bytes, what is sent is gathered and
-// written once a turn. Nothing of what the bytes mean is known here.
+// A TCP connection on the event loop's single thread. Received bytes are passed to a handler; sent bytes are
+// buffered and written once per turn of the loop. Knows nothing of the protocol.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,46 +15,46 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// "10.1.0.8:8784" as an endpoint. Throws std::invalid_argument where it is none.
+// "10.1.0.8:8784" as an endpoint. Throws std::invalid_argument for any other text.
 tcp::endpoint endpointOf(const std::string& address);
 
 class Stream : public std::enable_shared_from_this<Stream> {
 public:
-    // Takes all bytes that are there and says how many it has used; the rest is shown again with what
-    // follows.
+    // Gets all bytes received so far and returns how many it has consumed; the others are passed again
+    // together with those that follow.
     using OnBytes = std::function<std::size_t(std::string_view)>;
-    // The connection is gone, once, and never after close(). `refused`: it never came about, and the other
-    // side said so at once.
+    // The connection is lost. Called once at most, and never after close(). `refused`: it was never
+    // established, as the attempt failed with an error and not by timeout.
     using OnEnd = std::function<void(bool refused)>;
 
-    // A connection that was accepted.
-    static std::shared_ptr<Stream> over(tcp::socket socket);
-    // One to be made. `within_ms`: silence after which it counts as gone, while connecting and, by the
-    // system's own clock, while sent bytes stay unacknowledged.
-    static std::shared_ptr<Stream> to(asio::io_context& loop, const tcp::endpoint& where, int within_ms,
-                                      std::function<void()> onOpen);
+    static std::shared_ptr<Stream> accepted(tcp::socket socket);
+    // `timeout_ms`: the connection is given up when connecting takes longer or, by the kernel's own timer,
+    // when sent bytes stay unacknowledged for longer.
+    static std::shared_ptr<Stream> connect(asio::io_context& loop, const tcp::endpoint& endpoint,
+                                           int timeout_ms, std::function<void()> onOpen);
     ~Stream();
 
-    // Begins reading. To be called once; for a connection to be made, before or after it opens.
+    // Starts reading. To be called once; where this side connects, before or after the connection is
+    // established.
     void start(OnBytes onBytes, OnEnd onEnd);
     void send(std::string_view bytes);
-    // Bytes sent and not yet taken by the system.
-    std::size_t unsent() const { return out_.size() - written_; }
-    // Stops and resumes reading, so that who sends is held up.
-    void hold(bool on);
-    // Writes what was sent, ends the sending half and reads to the other side's end for a second at most, as
-    // a close over unread bytes would reset the connection and lose them.
+    // Bytes sent and not yet accepted by the kernel.
+    std::size_t unsentBytes() const { return out_.size() - written_; }
+    // Pausing slows the peer down by TCP's flow control.
+    void setReadingPaused(bool paused);
+    // Writes what was sent, shuts the sending side down and reads until the peer's end of stream, for a
+    // second at most: closing with unread bytes would reset the connection, and what was sent would be lost.
     void finish();
-    // Ends it at once; what is unsent is dropped.
+    // Closes at once; unsent bytes are dropped.
     void close();
-    bool open() const { return open_; }
+    bool isOpen() const { return open_; }
 
 private:
     explicit Stream(tcp::socket socket);
-    void opened(int silence_ms);
-    void readMore();
+    void established(int timeout_ms);
+    void read();
     void flush();
-    void gone(bool refused);
+    void connectionLost(bool refused);
 
     tcp::socket socket_;
     asio::steady_timer timer_;
@@ -62,22 +62,22 @@
     OnEnd onEnd_;
     std::string in_, out_;
     std::size_t written_ = 0;
-    bool open_ = false, reading_ = false, held_ = false, flushing_ = false, waiting_ = false,
-         finishing_ = false, closed_ = false;
+    bool open_ = false, reading_ = false, readingPaused_ = false, flushScheduled_ = false,
+         waitingToWrite_ = false, finishing_ = false, closed_ = false;
 };
 
-// Takes connections at an address until it is destroyed. Throws boost::system::system_error where it can't
-// listen.
+// Accepts connections at an address until it is stopped or destroyed. Throws boost::system::system_error
+// where it can't listen.
 class Listener {
 public:
     using OnStream = std::function<void(std::shared_ptr<Stream>)>;
-    Listener(asio::io_context& loop, const tcp::endpoint& where, OnStream onStream);
+    Listener(asio::io_context& loop, const tcp::endpoint& endpoint, OnStream onStream);
     void stop();
 
 private:
-    void take();
+    void accept();
     tcp::acceptor acceptor_;
-    asio::steady_timer pause_;
+    asio::steady_timer retryTimer_;
     OnStream onStream_;
 };
 
--- a/src/transport/traffic_counters.cpp
+++ b/src/transport/traffic_counters.cpp
@@ -6,31 +6,31 @@
 namespace granitereel::transport {
 
 namespace {
-constexpr Nanos lineEvery = millis(60'000);
+constexpr Nanos reportInterval = millis(60'000);
 }  // namespace
 
-void Traffic::sent(const std::string& kind, std::size_t bytes) {
-    Count& count = counts_[kind];
-    ++count.messages;
-    count.bytes += bytes;
+void TrafficCounters::count(const std::string& kind, std::size_t bytes) {
+    Total& total = totals_[kind];
+    ++total.messages;
+    total.bytes += bytes;
 }
 
-bool Traffic::due(Nanos now) {
-    if (writtenAt_ == 0) writtenAt_ = now;
-    if (now - writtenAt_ < lineEvery) return false;
-    writtenAt_ = now;
+bool TrafficCounters::reportDue(Nanos now) {
+    if (reportedAt_ == 0) reportedAt_ = now;
+    if (now - reportedAt_ < reportInterval) return false;
+    reportedAt_ = now;
     return true;
 }
 
-std::string Traffic::line() const {
-    std::vector<std::pair<std::string, Count>> all(counts_.begin(), counts_.end());
-    std::stable_sort(all.begin(), all.end(),
+std::string TrafficCounters::summary() const {
+    std::vector<std::pair<std::string, Total>> totals(totals_.begin(), totals_.end());
+    std::stable_sort(totals.begin(), totals.end(),
                      [](const auto& a, const auto& b) { return a.second.bytes > b.second.bytes; });
-    std::string line;
-    for (const auto& [kind, count] : all)
-        line += (line.empty() ? "" : " ") + kind + "=" + std::to_string(count.messages) + "/" +
-                std::to_string(count.bytes);
-    return line;
+    std::string text;
+    for (const auto& [kind, total] : totals)
+        text += (text.empty() ? "" : " ") + kind + "=" + std::to_string(total.messages) + "/" +
+                std::to_string(total.bytes);
+    return text;
 }
 
 }  // namespace granitereel::transport
--- a/src/transport/traffic_counters.hpp
+++ b/src/transport/traffic_counters.hpp
@@ -1,7 +1,7 @@
-// Messages and bytes that a process sent to others of the system, by kind of message. The kinds tell the
-// cause: "news" are changes; "digest", "inventory", "records", "complete" belong to a new link; "want" and
-// "sent" to that or to a patch that did not apply; "round", "lease" and their answers to the lease; the rest
-// to registers.
+// Messages and bytes that this process has sent to others of the system, by kind of message. The kind tells
+// the cause: "news" are changes of records; "digest", "inventory", "records" and "complete" belong to a new
+// link; "want" and "sent" to that, or to a patch that did not apply; "round", "lease" and their replies to
+// leases; the others to registers.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,20 @@
 
 namespace granitereel::transport {
 
-class Traffic {
+class TrafficCounters {
 public:
-    void sent(const std::string& kind, std::size_t bytes);
-    // Whether a line is due at `now`, which then counts as written.
-    bool due(Nanos now);
-    // "kind=messages/bytes ...", all since the start; the kind with the most bytes first.
-    std::string line() const;
+    void count(const std::string& kind, std::size_t bytes);
+    // Whether a log line is due at `now`; if so, it counts as written.
+    bool reportDue(Nanos now);
+    // "kind=messages/bytes ...", totals since the start; the kind with the most bytes first.
+    std::string summary() const;
 
 private:
-    struct Count {
+    struct Total {
         std::uint64_t messages = 0, bytes = 0;
     };
-    std::map<std::string, Count> counts_;
-    Nanos writtenAt_ = 0;
+    std::map<std::string, Total> totals_;
+    Nanos reportedAt_ = 0;
 };
 
 }  // namespace granitereel::transport
--- a/standins/control_world.hpp
+++ b/standins/control_world.hpp
@@ -85,10 +85,10 @@
         for (int i = 0; i < seeds + more; ++i) {
             Member& m = members[address(i)];
             m.settings.station = "control-" + std::to_string(i);
-            m.settings.controlAddress = address(i);
+            m.settings.controlListenAddress = address(i);
             m.settings.seeds = seedList;
             m.settings.firstBoot = true;
-            m.settings.promotes = false;
+            m.settings.promotionsEnabled = false;
             start(address(i));
         }
     }
--- a/standins/gossip_world.hpp
+++ b/standins/gossip_world.hpp
@@ -24,7 +24,7 @@
         std::deque<Packet> packets;
     };
     struct Node {
-        std::unique_ptr<gossip::Gossip> gossip;
+        std::unique_ptr<gossip::RecordReplicator> gossip;
         bool inContact = true;
     };
 
@@ -37,16 +37,16 @@
     int lastLink = 0;
 
     void start(int node) {
-        nodes[node].gossip = std::make_unique<gossip::Gossip>(
+        nodes[node].gossip = std::make_unique<gossip::RecordReplicator>(
             [this, node](int link, gossip::Json message) { sent(node, link, std::move(message)); },
             [](auto&, auto&) {});
         nodes[node].gossip->advance(now, nodes[node].inContact);
     }
-    gossip::Gossip& at(int node) { return *nodes.at(node).gossip; }
+    gossip::RecordReplicator& at(int node) { return *nodes.at(node).gossip; }
 
-    static Versions versionsOf(const gossip::Board& board) {
+    static Versions versionsOf(const gossip::RecordTable& recordTable) {
         Versions all;
-        for (const auto& [name, record] : board.all()) all[name] = record.version;
+        for (const auto& [name, record] : recordTable.all()) all[name] = record.version;
         return all;
     }
     void sent(int node, int link, gossip::Json message) {
@@ -56,7 +56,7 @@
         bytes += size;
         ++messages;
         largest = std::max(largest, size);
-        wire->second.packets.push_back({std::move(message), versionsOf(at(node).board())});
+        wire->second.packets.push_back({std::move(message), versionsOf(at(node).recordTable())});
     }
     // Returns the dialler's link.
     int connect(int dialler, int acceptor, bool named = false) {
@@ -65,8 +65,8 @@
         wires[b] = {acceptor, dialler, a, {}};
         sides[a] = gossip::Side::dialler;
         sides[b] = gossip::Side::acceptor;
-        at(acceptor).join(b, gossip::Side::acceptor, named ? std::to_string(dialler) : "");
-        at(dialler).join(a, gossip::Side::dialler, named ? std::to_string(acceptor) : "");
+        at(acceptor).addLink(b, gossip::Side::acceptor, named ? std::to_string(dialler) : "");
+        at(dialler).addLink(a, gossip::Side::dialler, named ? std::to_string(acceptor) : "");
         return a;
     }
     void cut(int link) {
@@ -74,8 +74,8 @@
         const int other = wire.linkAtReceiver;
         wires.erase(link);
         wires.erase(other);
-        if (nodes[wire.from].gossip) at(wire.from).leave(link);
-        if (nodes[wire.to].gossip) at(wire.to).leave(other);
+        if (nodes[wire.from].gossip) at(wire.from).removeLink(link);
+        if (nodes[wire.to].gossip) at(wire.to).removeLink(other);
     }
     void kill(int node) {
         std::vector<int> ends;
@@ -97,9 +97,9 @@
         const Packet packet = std::move(wire.packets.front());
         wire.packets.pop_front();
         const int receiver = wire.to, receiverLink = wire.linkAtReceiver;
-        at(receiver).heard(receiverLink, packet.message);
-        if (sides.at(receiverLink) != gossip::Side::dialler || !at(receiver).complete(receiverLink)) return;
-        const Versions mine = versionsOf(at(receiver).board());
+        at(receiver).receive(receiverLink, packet.message);
+        if (sides.at(receiverLink) != gossip::Side::dialler || !at(receiver).isComplete(receiverLink)) return;
+        const Versions mine = versionsOf(at(receiver).recordTable());
         for (const auto& [name, version] : packet.held) {
             const auto known = mine.find(name);
             brokenPromises += known == mine.end() || known->second < version;
@@ -116,7 +116,9 @@
             settle();
         }
     }
-    bool equal(int one, int other) { return versionsOf(at(one).board()) == versionsOf(at(other).board()); }
+    bool equal(int one, int other) {
+        return versionsOf(at(one).recordTable()) == versionsOf(at(other).recordTable());
+    }
     void resetCounts() { bytes = messages = largest = 0; }
 };
 
--- a/standins/membership_rig.hpp
+++ b/standins/membership_rig.hpp
@@ -21,7 +21,7 @@
 
     MembershipRig(int size, int bears, unsigned seed) : ControlWorld(3, size - 3, seed), tolerance(bears) {
         for (auto& [name, m] : members) {
-            m.settings.tolerance = bears;
+            m.settings.toleratedMachineLosses = bears;
             kill(name, true);
             m.settings.firstBoot = true;
             m.incarnation = 0;
@@ -35,7 +35,7 @@
         Member& m = members[address(i)];
         m.settings = members[address(0)].settings;
         m.settings.station = "control-" + std::to_string(i);
-        m.settings.controlAddress = address(i);
+        m.settings.controlListenAddress = address(i);
         returns(address(i));
         return address(i);
     }
--- a/standins/poolerrig.cpp
+++ b/standins/poolerrig.cpp
@@ -16,7 +16,7 @@
     s.station = "proxy-1";
     s.district = "here";
     s.drain_ms = 7000;
-    s.grace_ms = 6000;
+    s.shutdownGrace_ms = 6000;
     return s;
 }
 }  // namespace
@@ -140,7 +140,7 @@
                 toCourier.push_back(out->message);
                 // This agent holds nothing but what the rig tells.
                 if (exchanges && out->message.value("k", "") == gossip::Inventory::kind)
-                    pooler->agentSaid(gossip::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                    pooler->agentSaid(gossip::ExchangeComplete{out->message.at("exchange"), 0}.toJson(), now);
                 if (leases && out->message.value("k", "") == "lease?")
                     pooler->agentSaid(
                         {{"k", "lease"}, {"t", out->message["t"]}, {"left", 700'000}, {"c", json::object()}},
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -53,7 +53,7 @@
         Nanos offset = 0;
         double rate = 1;
         std::unique_ptr<Succession> succession;
-        gossip::Board known;
+        gossip::RecordTable known;
         Outputs out;
         std::uint64_t lastAsk = 0;
         bool frozen = false, cutOff = false, answersCut = false, storesCut = false, platformCut = false,
@@ -65,7 +65,7 @@
         Nanos clock() const { return offset + static_cast<Nanos>(static_cast<double>(rig.now) * rate); }
         Outputs& outputs() override { return out; }
         std::uint64_t nextAsk(Succession&) override { return ++lastAsk; }
-        const gossip::Board& board() const override { return known; }
+        const gossip::RecordTable& recordTable() const override { return known; }
         int syncReplicas(const std::string&) const override { return 1; }
         void change(const std::string&, std::uint64_t ifSeq, Lead to,
                     std::function<void(std::optional<Lead>)> done) override {
@@ -251,7 +251,7 @@
     }
     bool provenByReplicas(const Front& front, const proxy::AcknowledgedWrite& write) const {
         return options.provesByReplicas && write.position &&
-               now < front.evidence.settledUntil() + gossip::recordsRestedOnFor &&
+               now < front.evidence.settledUntil() + gossip::recordsUsableAfterLease &&
                front.replicas.holds(*write.position, 1);
     }
     // Tells clients of writes that are kept; those of which nothing is known are in doubt.
@@ -478,7 +478,7 @@
     }
 
     std::multimap<Nanos, std::function<void()>> events;
-    gossip::Board truth;
+    gossip::RecordTable truth;
     std::map<std::string, std::string> standings, addresses;
     std::uint64_t version = 1, highestFence = 0;
     int writes = 0;
--- a/standins/site.cpp
+++ b/standins/site.cpp
@@ -32,7 +32,7 @@
             const std::string store = nlohmann::json::parse(body).at("store_id");
             const bool promoted = databases.promote(store);
             if (promoted) ++promotions;
-            platform_->answer(call, promoted ? 200 : 409, "");
+            platform_->respond(call, promoted ? 200 : 409, "");
             beat();
         });
     thread_ = std::thread([this] { loop.run(); });
--- a/standins/succession_rig.hpp
+++ b/standins/succession_rig.hpp
@@ -15,7 +15,7 @@
 // Owners of one service's duty over a register that is always there, against stand-in stores.
 struct SuccessionRig : Succession::Means {
     Databases databases{"svc", 3, 1};
-    gossip::Board known;
+    gossip::RecordTable known;
     Outputs out;
     std::optional<Lead> lead;
     std::map<std::uint64_t, Succession*> asks;
@@ -52,7 +52,7 @@
         const bool stands = lead && written(*lead) == written(expected);
         done(stands ? Confirmation::stands : Confirmation::replaced, clock);
     }
-    const gossip::Board& board() const override { return known; }
+    const gossip::RecordTable& recordTable() const override { return known; }
     int syncReplicas(const std::string&) const override { return 1; }
 
     // Carries out what is asked, and answers it; `stopAfter`: that many asks, then whoever asked is dead.
--- a/tests/system/agent.cpp
+++ b/tests/system/agent.cpp
@@ -31,25 +31,26 @@
 struct AgentRig {
     Nanos now = millis(1'000'000);
     Agent agent{settings(), now};
-    std::vector<Agent::Said> said;
+    std::vector<Agent::OutgoingMessage> said;
     int lastLink = 0;
 
     AgentRig() {
-        agent.linkUp(proxyLink, now);
+        agent.childConnected(proxyLink, now);
         take();
     }
     // The parents hold nothing that the agent lacks: the exchange of boards is complete at once.
     void take() {
-        for (auto all = agent.take(); !all.empty(); all = agent.take())
+        for (auto all = agent.takeOutgoing(); !all.empty(); all = agent.takeOutgoing())
             for (auto& each : all) {
                 if (each.message["k"] == granitereel::gossip::Inventory::kind && each.link != proxyLink)
-                    agent.heard(each.link,
-                                granitereel::gossip::Complete{each.message["exchange"], 0}.toJson(), now);
+                    agent.receive(each.link,
+                                  granitereel::gossip::ExchangeComplete{each.message["exchange"], 0}.toJson(),
+                                  now);
                 said.push_back(std::move(each));
             }
     }
     int parent(const std::string& address = "10.1.0.1") {
-        agent.upward(++lastLink, address, now);
+        agent.setParentLink(++lastLink, address, now);
         take();
         return lastLink;
     }
@@ -66,12 +67,12 @@
         take();
     }
     void answer(int link, std::uint64_t question, Nanos left, const json& unsettled = json::object()) {
-        agent.heard(link, {{"k", "lease"}, {"t", question}, {"left", left / 1000}, {"c", unsettled}}, now);
+        agent.receive(link, {{"k", "lease"}, {"t", question}, {"left", left / 1000}, {"c", unsettled}}, now);
         take();
     }
     // What the proxy is granted.
     json grant() {
-        agent.heard(proxyLink, {{"k", "lease?"}, {"t", 1}}, now);
+        agent.receive(proxyLink, {{"k", "lease?"}, {"t", 1}}, now);
         take();
         return said.back().message;
     }
@@ -124,7 +125,7 @@
     AgentRig rig;
     rig.parent();
     const auto question = rig.question();
-    rig.agent.upward(0, "", rig.now);
+    rig.agent.setParentLink(0, "", rig.now);
     const int again = rig.parent();
     rig.answer(again, question, millis(700));
     EXPECT_EQ(rig.left(), 0);
@@ -147,7 +148,7 @@
     AgentRig rig;
     rig.parent("10.1.0.1");
     for (int i = 0; i < 6; ++i) rig.answer(rig.lastLink, rig.question(), 0);
-    EXPECT_EQ(rig.agent.parents().front(), "10.1.0.2");
+    EXPECT_EQ(rig.agent.rankedParents().front(), "10.1.0.2");
     EXPECT_EQ(rig.agent.betterParent(), "10.1.0.2");
 }
 
@@ -207,7 +208,7 @@
                 break;
         }
         for (; heardOf < rig.said.size(); ++heardOf) {
-            const Agent::Said& said = rig.said[heardOf];
+            const Agent::OutgoingMessage& said = rig.said[heardOf];
             if (said.message["k"] != "lease?" || said.link == proxyLink) continue;
             const Member& of = members[said.link == links[0] ? 0 : 1];
             late.push_back({said.link, said.message["t"], of.left(rig.now), of.unsettled});
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -55,7 +55,7 @@
         return now - from;
     }
     const gossip::Record* store(const std::string& at, const std::string& id) {
-        return static_cast<const Succession::Means&>(*members[at].control).board().find("store/" + id);
+        return static_cast<const Succession::Means&>(*members[at].control).recordTable().find("store/" + id);
     }
     std::string standing(const std::string& at, const std::string& id) {
         const gossip::Record* record = store(at, id);
--- a/tests/system/disks.cpp
+++ b/tests/system/disks.cpp
@@ -463,7 +463,7 @@
 struct DutyWorld : World {
     DutyWorld() : World(3, 0, 21) {
         for (auto& [name, m] : members) {
-            m.settings.promotes = true;
+            m.settings.promotionsEnabled = true;
             kill(name);
             start(name);
         }
--- a/tests/system/gossip.cpp
+++ b/tests/system/gossip.cpp
@@ -71,8 +71,8 @@
             world.settle();
             EXPECT_TRUE(world.equal(1, 2)) << each.shared << " " << each.more;
             EXPECT_LE(world.bytes, each.bytesMost) << each.shared << " " << each.more;
-            EXPECT_LE(world.largest, gossip::pieceBytes + 4096);
-            EXPECT_TRUE(world.at(hasMoreDials ? 2 : 1).complete(link));
+            EXPECT_LE(world.largest, gossip::targetMessageBytes + 4096);
+            EXPECT_TRUE(world.at(hasMoreDials ? 2 : 1).isComplete(link));
             EXPECT_EQ(world.brokenPromises, 0);
             std::printf("%d alike, %d more at the %s: %zu bytes, %zu messages\n", each.shared, each.more,
                         hasMoreDials ? "dialler" : "acceptor", world.bytes, world.messages);
@@ -92,11 +92,12 @@
         for (int i = 2; i <= changes + 1; ++i)
             world.at(2).put("config", {{static_cast<std::uint64_t>(i), 0}, configOf(i, 300)});
         world.settle();
-        const std::size_t whole = world.at(2).board().find("config")->body.dump().size();
+        const std::size_t whole = world.at(2).recordTable().find("config")->body.dump().size();
         world.resetCounts();
         world.connect(1, 2);
         world.settle();
-        EXPECT_EQ(world.at(1).board().find("config")->body, world.at(2).board().find("config")->body);
+        EXPECT_EQ(world.at(1).recordTable().find("config")->body,
+                  world.at(2).recordTable().find("config")->body);
         EXPECT_LE(world.bytes, changes == 10 ? 3'000 : whole + 1'000);
         std::printf("%d changes missed: %zu bytes, %zu messages; the whole is %zu bytes\n", changes,
                     world.bytes, world.messages, whole);
@@ -116,7 +117,7 @@
         moved["itineraries"].erase(static_cast<std::size_t>(place));
         moved["itineraries"].push_back(was["itineraries"][static_cast<std::size_t>(place)]);
         for (const Json& now : {more, fewer, moved}) {
-            const Json patch = gossip::difference(was, now);
+            const Json patch = gossip::jsonDiff(was, now);
             EXPECT_EQ(was.patch(patch), now) << place;
             EXPECT_LT(patch.dump().size(), 400u) << place;
         }
@@ -140,7 +141,7 @@
     };
     for (int i = 0; i < 3000; ++i) {
         const Json was = value(value, 0), now = value(value, 0);
-        ASSERT_EQ(was.patch(gossip::difference(was, now)), now) << was << now;
+        ASSERT_EQ(was.patch(gossip::jsonDiff(was, now)), now) << was << now;
     }
 }
 
@@ -198,7 +199,7 @@
     ++ends;
     broken += world.brokenPromises;
     ASSERT_TRUE(world.equal(1, 2)) << testing::PrintToString(order);
-    ASSERT_EQ(world.at(1).board().find("config")->body, body) << testing::PrintToString(order);
+    ASSERT_EQ(world.at(1).recordTable().find("config")->body, body) << testing::PrintToString(order);
 }
 
 TEST(NewLink, KeepsItsPromiseInEveryOrder) {
@@ -244,7 +245,7 @@
         world.at(2).put("config", {{edition, 0}, {{"edition", edition}}});
         world.pass(millis(500));
     }
-    EXPECT_TRUE(world.at(1).complete(link));
+    EXPECT_TRUE(world.at(1).isComplete(link));
     EXPECT_TRUE(world.equal(1, 2));
 }
 
@@ -252,12 +253,12 @@
     GossipWorld world;
     world.start(1), world.start(2);
     const int link = world.connect(1, 2);
-    world.at(1).heard(link, {{"k", "whole?"}, {"n", "config"}});
-    world.at(1).heard(link, {{"k", "digest"}, {"exchange", 1}, {"contact_age_ms", 0}, {"hashes", "zz"}});
-    EXPECT_THROW(world.at(1).heard(link, {{"k", "inventory"}}), Json::exception);
-    EXPECT_THROW(world.at(1).heard(link, {{"k", "news"}, {"r", 7}}), Json::exception);
+    world.at(1).receive(link, {{"k", "whole?"}, {"n", "config"}});
+    world.at(1).receive(link, {{"k", "digest"}, {"exchange", 1}, {"contact_age_ms", 0}, {"hashes", "zz"}});
+    EXPECT_THROW(world.at(1).receive(link, {{"k", "inventory"}}), Json::exception);
+    EXPECT_THROW(world.at(1).receive(link, {{"k", "news"}, {"r", 7}}), Json::exception);
     world.settle();
-    EXPECT_TRUE(world.at(1).complete(link));
+    EXPECT_TRUE(world.at(1).isComplete(link));
 }
 
 // Five boards; links come and go, records change and end, by chance. The seed is the bug report.
@@ -328,14 +329,14 @@
     world.pass(9 * minute);
     world.connect(2, 1);
     world.settle();
-    ASSERT_TRUE(world.at(2).board().find("store/a"));
+    ASSERT_TRUE(world.at(2).recordTable().find("store/a"));
     world.pass(minute + millis(2'000));
-    EXPECT_FALSE(world.at(1).board().find("store/a"));
-    EXPECT_FALSE(world.at(2).board().find("store/a"));
+    EXPECT_FALSE(world.at(1).recordTable().find("store/a"));
+    EXPECT_FALSE(world.at(2).recordTable().find("store/a"));
     // A register's value is no tombstone, however old.
     world.at(1).put("config", {{1, 0}, configOf(1, 2)});
     world.pass(30 * minute);
-    EXPECT_TRUE(world.at(2).board().find("config"));
+    EXPECT_TRUE(world.at(2).recordTable().find("config"));
 }
 
 TEST(Tombstones, HoldAgainstAProcessThatWasCutOffForAnyTime) {
@@ -348,7 +349,7 @@
             world.at(1).put("store/dead", {{1, 0}, storeBody(1)});
             world.at(1).put("store/lives", {{1, 0}, storeBody(2)});
             const int link = world.connect(2, 1);
-            world.at(2).own("front/two", {{"ip", "10.0.0.2"}});
+            world.at(2).publish("front/two", {{"ip", "10.0.0.2"}});
             world.settle();
             world.cut(link);
             world.nodes[2].inContact = world.nodes[3].inContact = false;
@@ -361,19 +362,19 @@
             if (through) world.kill(2);
             world.connect(returning, 1);
             world.settle();
-            ASSERT_TRUE(!world.at(1).board().find("store/dead") ||
-                        world.at(1).board().find("store/dead")->body.is_null());
+            ASSERT_TRUE(!world.at(1).recordTable().find("store/dead") ||
+                        world.at(1).recordTable().find("store/dead")->body.is_null());
             world.nodes[returning].inContact = true;
-            world.pass(gossip::confirmedWithin + millis(3'000));
+            world.pass(gossip::confirmationTimeout + millis(3'000));
             for (const int node : {1, returning}) {
-                const Record* dead = world.at(node).board().find("store/dead");
+                const Record* dead = world.at(node).recordTable().find("store/dead");
                 ASSERT_TRUE(!dead || dead->body.is_null()) << halves << " " << through << " at " << node;
-                const Record* lives = world.at(node).board().find("store/lives");
+                const Record* lives = world.at(node).recordTable().find("store/lives");
                 ASSERT_TRUE(lives && lives->body.is_object()) << halves << " " << through << " at " << node;
             }
-            EXPECT_TRUE(world.at(1).board().find("config"));
+            EXPECT_TRUE(world.at(1).recordTable().find("config"));
             if (!through) {
-                EXPECT_TRUE(world.at(1).board().find("front/two")->body.is_object());
+                EXPECT_TRUE(world.at(1).recordTable().find("front/two")->body.is_object());
             }
         }
 }
@@ -392,19 +393,19 @@
     world.at(0).put("store/dead", {{2, 0}, nullptr});
     for (int node = 1; node < 7; ++node) {
         world.nodes[node].inContact = false;
-        world.pass(gossip::isolationLimit - millis(5'000));
+        world.pass(gossip::maxIsolation - millis(5'000));
         world.nodes[node + 1].inContact = false;
         world.start(node + 1);
         world.connect(node + 1, node);
         world.settle();
         world.kill(node);
     }
-    EXPECT_FALSE(world.at(0).board().find("store/dead"));
+    EXPECT_FALSE(world.at(0).recordTable().find("store/dead"));
     world.connect(7, 0);
     world.settle();
     world.nodes[7].inContact = true;
-    world.pass(gossip::confirmedWithin + millis(2'000));
-    for (const int node : {0, 7}) EXPECT_FALSE(world.at(node).board().find("store/dead")) << node;
+    world.pass(gossip::confirmationTimeout + millis(2'000));
+    for (const int node : {0, 7}) EXPECT_FALSE(world.at(node).recordTable().find("store/dead")) << node;
 }
 
 TEST(Tombstones, LeaveWhatIsKnownUsableWhileControlIsAway) {
@@ -415,18 +416,18 @@
     world.settle();
     for (auto& [name, node] : world.nodes) node.inContact = false;
     world.pass(30 * minute);
-    EXPECT_TRUE(world.at(2).board().find(storeName(1)));
+    EXPECT_TRUE(world.at(2).recordTable().find(storeName(1)));
     world.connect(3, 2);  // also for one that starts now
     world.settle();
-    EXPECT_TRUE(world.at(3).board().find(storeName(1)));
+    EXPECT_TRUE(world.at(3).recordTable().find(storeName(1)));
     // Control is there again and hears of the store anew, below the version that was held.
     world.nodes[1].inContact = true;
     world.pass(millis(2'000));
     world.at(1).put(storeName(1), {{1, 5}, storeBody(1)});
     world.settle();
     world.nodes[2].inContact = world.nodes[3].inContact = true;
-    world.pass(gossip::confirmedWithin + millis(2'000));
-    for (const int node : {1, 2, 3}) EXPECT_TRUE(world.at(node).board().find(storeName(1))) << node;
+    world.pass(gossip::confirmationTimeout + millis(2'000));
+    for (const int node : {1, 2, 3}) EXPECT_TRUE(world.at(node).recordTable().find(storeName(1))) << node;
 }
 
 // Three processes renew their records; one dies without a word, one is cut off for hours and comes back.
@@ -434,7 +435,8 @@
     for (const bool comesBack : {false, true}) {
         GossipWorld world;
         for (const int node : {1, 2, 3}) world.start(node);
-        for (const int node : {1, 2, 3}) world.at(node).own("front/" + std::to_string(node), {{"ip", node}});
+        for (const int node : {1, 2, 3})
+            world.at(node).publish("front/" + std::to_string(node), {{"ip", node}});
         world.connect(2, 1);
         const int link = world.connect(3, 1);
         world.settle();
@@ -445,28 +447,28 @@
             world.kill(3);
         }
         const auto takeDown = [&] {  // as a member of control with a lease does
-            std::vector<std::string> names = world.at(1).overdue();
+            std::vector<std::string> names = world.at(1).overdueRecords();
             for (const std::string& name : names) {
-                const std::uint64_t major = world.at(1).board().find(name)->version.major;
+                const std::uint64_t major = world.at(1).recordTable().find(name)->version.major;
                 world.at(1).put(name, {{major + 1, 0}, nullptr});
             }
             return names;
         };
-        for (Nanos passed = 0; passed < gossip::renewedWithin - minute; passed += minute) {
+        for (Nanos passed = 0; passed < gossip::renewalTimeout - minute; passed += minute) {
             world.pass(minute);
             ASSERT_TRUE(takeDown().empty());
         }
         world.pass(2 * minute);
         EXPECT_EQ(takeDown(), std::vector<std::string>{"front/3"});
         world.settle();
-        EXPECT_TRUE(world.at(2).board().find("front/3")->body.is_null());
+        EXPECT_TRUE(world.at(2).recordTable().find("front/3")->body.is_null());
         for (int hour = 0; hour < 5; ++hour) {
             world.pass(60 * minute);
             EXPECT_TRUE(takeDown().empty());
         }
-        EXPECT_FALSE(world.at(1).board().find("front/3"));  // the tombstone has ended, too
+        EXPECT_FALSE(world.at(1).recordTable().find("front/3"));  // the tombstone has ended, too
         for (const int node : {1, 2}) {
-            const Record* lives = world.at(1).board().find("front/" + std::to_string(node));
+            const Record* lives = world.at(1).recordTable().find("front/" + std::to_string(node));
             EXPECT_TRUE(lives && lives->body.is_object());
         }
         if (!comesBack) continue;
@@ -474,7 +476,7 @@
         world.nodes[3].inContact = true;
         world.pass(millis(3'000));
         for (const int node : {1, 2, 3}) {
-            const Record* back = world.at(node).board().find("front/3");
+            const Record* back = world.at(node).recordTable().find("front/3");
             EXPECT_TRUE(back && back->body.is_object()) << node;
         }
     }
@@ -484,32 +486,32 @@
 TEST(Renewals, AnOwnerThatLivesPutsItsRecordAnew) {
     GossipWorld world;
     for (const int node : {1, 2}) world.start(node);
-    world.at(2).own("front/2", {{"ip", 2}});
+    world.at(2).publish("front/2", {{"ip", 2}});
     world.connect(2, 1);
     world.settle();
-    const std::uint64_t major = world.at(1).board().find("front/2")->version.major;
+    const std::uint64_t major = world.at(1).recordTable().find("front/2")->version.major;
     world.at(1).put("front/2", {{major + 1, 0}, nullptr});
     world.settle();
-    for (const int node : {1, 2}) EXPECT_TRUE(world.at(node).board().find("front/2")->body.is_object());
+    for (const int node : {1, 2}) EXPECT_TRUE(world.at(node).recordTable().find("front/2")->body.is_object());
 }
 
 // A member that heard nobody for hours holds that against nobody.
 TEST(Renewals, WhoWasWithoutContactTakesNothingDown) {
     GossipWorld world;
     for (const int node : {1, 2}) world.start(node);
-    world.at(2).own("front/2", {{"ip", 2}});
+    world.at(2).publish("front/2", {{"ip", 2}});
     const int link = world.connect(2, 1);
     world.settle();
     world.cut(link);
     world.nodes[1].inContact = false;
-    world.pass(3 * gossip::renewedWithin);
+    world.pass(3 * gossip::renewalTimeout);
     world.connect(2, 1);
     world.nodes[1].inContact = true;
     world.pass(millis(1'000));
-    EXPECT_TRUE(world.at(1).overdue().empty());
-    world.pass(gossip::renewedWithin + minute);
-    EXPECT_TRUE(world.at(1).overdue().empty());
-    EXPECT_TRUE(world.at(1).board().find("front/2")->body.is_object());
+    EXPECT_TRUE(world.at(1).overdueRecords().empty());
+    world.pass(gossip::renewalTimeout + minute);
+    EXPECT_TRUE(world.at(1).overdueRecords().empty());
+    EXPECT_TRUE(world.at(1).recordTable().find("front/2")->body.is_object());
 }
 
 // All are without contact for half an hour on links that stand; then the stores' next heartbeats confirm
@@ -518,7 +520,7 @@
     GossipWorld world;
     constexpr int nodes = 9;  // more links in a row than exchanges are begun again
     for (int node = 1; node <= nodes; ++node)
-        world.start(node), world.at(node).own("front/" + std::to_string(node), 1);
+        world.start(node), world.at(node).publish("front/" + std::to_string(node), 1);
     for (const int store : {1, 2}) world.at(1).put(storeName(store), {{1, 0}, storeBody(store)});
     for (int node = 2; node <= nodes; ++node) world.connect(node, node - 1);
     world.settle();
@@ -527,15 +529,17 @@
     for (auto& [name, node] : world.nodes) node.inContact = true;
     for (int second = 0; second < 30; ++second) {
         world.pass(millis(1'000));
-        if (second == 1 && world.at(1).unconfirmed(storeName(1)))
+        if (second == 1 && world.at(1).isUnconfirmed(storeName(1)))
             world.at(1).put(storeName(1), {{2, 0}, storeBody(1)});
         for (int node = 1; node <= nodes; ++node) {
-            ASSERT_TRUE(world.at(node).board().find(storeName(1))) << node << " " << second;
+            ASSERT_TRUE(world.at(node).recordTable().find(storeName(1))) << node << " " << second;
             for (int front = 1; front <= nodes; ++front)
-                ASSERT_TRUE(world.at(node).board().find("front/" + std::to_string(front))) << node << front;
+                ASSERT_TRUE(world.at(node).recordTable().find("front/" + std::to_string(front)))
+                    << node << front;
         }
     }
-    for (int node = 1; node <= nodes; ++node) EXPECT_FALSE(world.at(node).board().find(storeName(2))) << node;
+    for (int node = 1; node <= nodes; ++node)
+        EXPECT_FALSE(world.at(node).recordTable().find(storeName(2))) << node;
     EXPECT_EQ(world.brokenPromises, 0);
 }
 
@@ -546,7 +550,7 @@
         for (const int afterwards : {0, 1, 2}) {
             GossipWorld world;
             world.start(1), world.start(2);
-            world.at(1).own("front/x", {{"district", district}});
+            world.at(1).publish("front/x", {{"district", district}});
             world.connect(1, 2);
             world.settle();
             world.kill(1);
@@ -554,10 +558,10 @@
             if (afterwards == 1) world.at(2).put("front/x", {{2, 0}, nullptr});
             if (afterwards == 2) world.at(2).put("front/x", {{7, 0}, {{"district", "other"}}});
             world.start(1);
-            world.at(1).own("front/x", body);
+            world.at(1).publish("front/x", body);
             world.connect(1, 2);
             world.settle();
-            EXPECT_EQ(world.at(2).board().find("front/x")->body, body) << district << " " << afterwards;
+            EXPECT_EQ(world.at(2).recordTable().find("front/x")->body, body) << district << " " << afterwards;
             EXPECT_TRUE(world.equal(1, 2));
         }
 }
@@ -575,24 +579,24 @@
         settings.ip = "10.0.0.9";
         agent::Agent agent(settings, now);
         std::deque<Json> toAgent;
-        gossip::Gossip parent([&](int, Json message) { toAgent.push_back(std::move(message)); },
-                              [](auto&, auto&) {});
+        gossip::RecordReplicator parent([&](int, Json message) { toAgent.push_back(std::move(message)); },
+                                        [](auto&, auto&) {});
         parent.advance(now, true);
-        gossip::News early;
+        gossip::UpdateBatch early;
         for (int i = 0; i < 100; ++i) {
             parent.put(storeName(i), {{1, 0}, storeBody(i)});
             early.records.push_back({storeName(i), {1, 0}, {}, storeBody(i)});
         }
         early.records.push_back({"lead/svc", {1, 0}, {}, {{"store", "old"}}});
         parent.put("lead/svc", {{2, 0}, {{"store", "new"}}});
-        agent.heard(1, early.toJson(), now);
-        agent.upward(2, "10.0.0.1", now);
-        parent.join(7, gossip::Side::acceptor);
+        agent.receive(1, early.toJson(), now);
+        agent.setParentLink(2, "10.0.0.1", now);
+        parent.addLink(7, gossip::Side::acceptor);
         for (int step = 0; step < 20; ++step) {
             if (step == asksAfter) agent.tick(now);
-            for (const auto& said : agent.take()) {
+            for (const auto& said : agent.takeOutgoing()) {
                 if (said.message["k"] != "lease?") {
-                    parent.heard(7, said.message);
+                    parent.receive(7, said.message);
                     continue;
                 }
                 const Json none = Json::object();
@@ -601,17 +605,17 @@
             if (toAgent.empty()) continue;
             const Json message = std::exchange(toAgent.front(), {});
             toAgent.pop_front();
-            agent.heard(2, message, now);
+            agent.receive(2, message, now);
             if (agent.leaseUntil() > now) {
-                ASSERT_EQ(agent.board().find("lead/svc")->body.at("store"), "new") << asksAfter;
+                ASSERT_EQ(agent.recordTable().find("lead/svc")->body.at("store"), "new") << asksAfter;
             }
         }
-        EXPECT_EQ(agent.board().find("lead/svc")->body.at("store"), "new");
+        EXPECT_EQ(agent.recordTable().find("lead/svc")->body.at("store"), "new");
         agent.tick(now += millis(200));
-        for (const auto& said : agent.take())
+        for (const auto& said : agent.takeOutgoing())
             if (said.message["k"] == "lease?")
-                agent.heard(2, {{"k", "lease"}, {"t", said.message["t"]}, {"left", 1}, {"c", Json::object()}},
-                            now);
+                agent.receive(
+                    2, {{"k", "lease"}, {"t", said.message["t"]}, {"left", 1}, {"c", Json::object()}}, now);
         EXPECT_GT(agent.leaseUntil(), now);
     }
 }
@@ -620,20 +624,20 @@
 TEST(Gate, KeepsAnAgentsUnsettledLeadsUnderAShorterLease) {
     Nanos now = millis(1'000'000);
     agent::Agent agent(settings::Settings{}, now);
-    agent.linkUp(9, now);
+    agent.childConnected(9, now);
     auto answered = [&](std::int64_t left_us, const Json& unsettled) {
         agent.tick(now += millis(200));
-        for (const auto& said : agent.take()) {
+        for (const auto& said : agent.takeOutgoing()) {
             if (said.message["k"] == gossip::Inventory::kind && said.link == 2)
-                agent.heard(2, gossip::Complete{said.message["exchange"], 0}.toJson(), now);
+                agent.receive(2, gossip::ExchangeComplete{said.message["exchange"], 0}.toJson(), now);
             if (said.message["k"] == "lease?")
-                agent.heard(
+                agent.receive(
                     2, {{"k", "lease"}, {"t", said.message["t"]}, {"left", left_us}, {"c", unsettled}}, now);
         }
-        agent.heard(9, {{"k", "lease?"}, {"t", 1}}, now);
-        return agent.take().back().message.at("c");
+        agent.receive(9, {{"k", "lease?"}, {"t", 1}}, now);
+        return agent.takeOutgoing().back().message.at("c");
     };
-    agent.upward(2, "10.0.0.1", now);
+    agent.setParentLink(2, "10.0.0.1", now);
     const Json unsettled{{"svc", 4}};
     EXPECT_EQ(answered(700'000, unsettled), unsettled);
     EXPECT_EQ(answered(0, Json::object()), unsettled);
@@ -648,14 +652,14 @@
     for (int asksAfter = 0; asksAfter < 8; ++asksAfter) {
         Nanos now = millis(1'000'000);
         settings::Settings settings;
-        settings.controlAddress = self;
+        settings.controlListenAddress = self;
         const Json core{{"epoch", 1}, {"voters", {self, voter, "10.0.0.3:80"}}};
         control::ControlMember member(settings, "1", {{"core", core}}, now);
         std::deque<Json> toMember;
-        gossip::Gossip peer([&](int, Json message) { toMember.push_back(std::move(message)); },
-                            [](auto&, auto&) {});
+        gossip::RecordReplicator peer([&](int, Json message) { toMember.push_back(std::move(message)); },
+                                      [](auto&, auto&) {});
         peer.advance(now, true);
-        gossip::News early;
+        gossip::UpdateBatch early;
         for (int i = 0; i < 100; ++i) {
             peer.put(storeName(i), {{1, 0}, storeBody(i)});
             early.records.push_back({storeName(i), {1, 0}, {}, storeBody(i)});
@@ -663,20 +667,20 @@
         early.records.push_back({"lead/svc", {1, 0}, {}, {{"store", "old"}}});
         peer.put("lead/svc", {{2, 0}, {{"store", "new"}}});
         const auto lead = [&] {
-            const auto& board = static_cast<const control::Succession::Means&>(member).board();
-            return board.find("lead/svc")->body.at("store").get<std::string>();
+            const auto& recordTable = static_cast<const control::Succession::Means&>(member).recordTable();
+            return recordTable.find("lead/svc")->body.at("store").get<std::string>();
         };
         const auto leased = [&] { return member.state(now)["lease_left_ms"].get<int>() > 0; };
         member.linkUp(1, "", now);
         member.heard(1, early.toJson(), now);
         member.linkUp(2, voter, now);
-        peer.join(7, gossip::Side::acceptor);
+        peer.addLink(7, gossip::Side::acceptor);
         const auto answerAll = [&] {
             for (const control::Output& each : member.takeOutputs()) {
                 const auto* out = std::get_if<control::ToLink>(&each);
                 if (!out || out->link != 2) continue;
                 if (out->message["k"] != "round") {
-                    peer.heard(7, out->message);
+                    peer.receive(7, out->message);
                     continue;
                 }
                 const auto question = control::LeaseQuestion::fromJson(out->message);
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -80,7 +80,7 @@
         "seed_list = [\"10.0.0.2:80\"]\nnovelty = 3\n[guarantees]\ngrace_s = 2.5\n";
     const auto read = settings::read(settings(sound));
     EXPECT_EQ(read.station, "a");
-    EXPECT_EQ(read.grace_ms, 2500);
+    EXPECT_EQ(read.shutdownGrace_ms, 2500);
     auto fault = [](const std::string& text) -> std::string {
         try {
             settings::read(settings(text));
@@ -103,22 +103,23 @@
 TEST(Gossip, BringsTogetherBySnapshotAndChanges) {
     std::vector<std::pair<int, nlohmann::json>> fromA, fromB;
     int newsAtB = 0;
-    gossip::Gossip a([&](int link, auto message) { fromA.emplace_back(link, message); }, [](auto&, auto&) {});
-    gossip::Gossip b([&](int link, auto message) { fromB.emplace_back(link, message); },
-                     [&](auto&, auto&) { ++newsAtB; });
+    gossip::RecordReplicator a([&](int link, auto message) { fromA.emplace_back(link, message); },
+                               [](auto&, auto&) {});
+    gossip::RecordReplicator b([&](int link, auto message) { fromB.emplace_back(link, message); },
+                               [&](auto&, auto&) { ++newsAtB; });
     nlohmann::json body;
     for (int i = 0; i < 200; ++i)
         body["routes"]["r" + std::to_string(i)] = {{"deadline_ms", i}, {"depot", "d"}};
     a.put("config", {{1, 0}, body});
-    a.join(1, gossip::Side::acceptor), b.join(1, gossip::Side::dialler);
+    a.addLink(1, gossip::Side::acceptor), b.addLink(1, gossip::Side::dialler);
     auto exchange = [&](bool lose = false) {
         std::size_t bytes = 0;
         while (!fromA.empty() || !fromB.empty()) {
             for (auto& [link, message] : std::exchange(fromA, {})) {
                 bytes += message.dump().size();
-                if (!lose) b.heard(1, message);
+                if (!lose) b.receive(1, message);
             }
-            for (auto& [link, message] : std::exchange(fromB, {})) a.heard(1, message);
+            for (auto& [link, message] : std::exchange(fromB, {})) a.receive(1, message);
         }
         return bytes;
     };
@@ -126,17 +127,17 @@
     body["routes"]["r7"]["deadline_ms"] = 999;
     a.put("config", {{2, 0}, body});
     EXPECT_LT(exchange(), whole / 10);
-    EXPECT_EQ(b.board().find("config")->body, body);
+    EXPECT_EQ(b.recordTable().find("config")->body, body);
     body["routes"]["r8"]["deadline_ms"] = 999;
     a.put("config", {{3, 0}, body});
     exchange(true);
     body["routes"].erase("r9");
     a.put("config", {{4, 0}, body});
     exchange();  // the patch from 3 does not fit: the whole is asked for
-    EXPECT_EQ(b.board().find("config")->body, body);
+    EXPECT_EQ(b.recordTable().find("config")->body, body);
     a.put("config", {{3, 0}, nullptr});  // older: nothing happens
     exchange();
-    EXPECT_EQ(b.board().find("config")->body, body);
+    EXPECT_EQ(b.recordTable().find("config")->body, body);
     EXPECT_EQ(newsAtB, 3);
 }
 
@@ -148,33 +149,33 @@
     s.seeds = {"10.1.0.1:80", "10.2.0.1:80"};
     Nanos now = millis(1000);
     agent::Agent agent(s, now);
-    EXPECT_EQ(agent.parents().size(), 2u);
+    EXPECT_EQ(agent.rankedParents().size(), 2u);
     auto news = [&](const std::string& name, const char* ip, const char* district) {
-        agent.heard(5,
-                    {{"k", "news"},
-                     {"r", {{{"n", name}, {"v", {1, 0}}, {"b", {{"ip", ip}, {"district", district}}}}}}},
-                    now);
+        agent.receive(5,
+                      {{"k", "news"},
+                       {"r", {{{"n", name}, {"v", {1, 0}}, {"b", {{"ip", ip}, {"district", district}}}}}}},
+                      now);
     };
-    agent.upward(5, "10.1.0.1", now);
+    agent.setParentLink(5, "10.1.0.1", now);
     news("member/10.1.0.1:80", "10.1.0.1", "far");
     news("member/10.2.0.1:80", "10.2.0.1", "here");
     EXPECT_EQ(agent.betterParent(), "10.2.0.1");
-    agent.upward(6, "10.2.0.1", now);
+    agent.setParentLink(6, "10.2.0.1", now);
     EXPECT_EQ(agent.betterParent(), "");
     // Its exchange with the parent is complete before the lease counts (tests/system/gossip.cpp).
-    for (const auto& said : agent.take())
+    for (const auto& said : agent.takeOutgoing())
         if (said.link == 6 && said.message["k"] == gossip::Inventory::kind)
-            agent.heard(6, gossip::Complete{said.message["exchange"], 0}.toJson(), now);
+            agent.receive(6, gossip::ExchangeComplete{said.message["exchange"], 0}.toJson(), now);
     for (int i = 0; i < 5; ++i) {
         agent.tick(now += millis(200));
-        for (const auto& said : agent.take())
+        for (const auto& said : agent.takeOutgoing())
             if (said.message["k"] == "lease?")
-                agent.heard(6,
-                            {{"k", "lease"},
-                             {"t", said.message["t"]},
-                             {"left", 600'000},
-                             {"c", nlohmann::json::object()}},
-                            now);
+                agent.receive(6,
+                              {{"k", "lease"},
+                               {"t", said.message["t"]},
+                               {"left", 600'000},
+                               {"c", nlohmann::json::object()}},
+                              now);
     }
     EXPECT_EQ(agent.leaseUntil(), now + millis(600));
     for (int i = 0; i < 6; ++i) agent.tick(now += millis(200));
@@ -189,14 +190,14 @@
         each.district = "lonely";
         agent::Agent it(each, now);
         for (int j = 0; j < 9; ++j)
-            it.heard(1,
-                     {{"k", "news"},
-                      {"r",
-                       {{{"n", "front/proxy-" + std::to_string(j)},
-                         {"v", {9, 0}},
-                         {"b", {{"ip", "10.0.0." + std::to_string(j)}, {"district", "lonely"}}}}}}},
-                     now);
-        chosen[each.ip] = it.parents();
+            it.receive(1,
+                       {{"k", "news"},
+                        {"r",
+                         {{{"n", "front/proxy-" + std::to_string(j)},
+                           {"v", {9, 0}},
+                           {"b", {{"ip", "10.0.0." + std::to_string(j)}, {"district", "lonely"}}}}}}},
+                       now);
+        chosen[each.ip] = it.rankedParents();
     }
     int out = 0;
     for (const auto& [ip, parents] : chosen) {
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -122,7 +122,7 @@
                 EXPECT_EQ(answer->kind, Kind::taken);
             }
         }
-        const auto* record = static_cast<const Succession::Means&>(control).board().find("store/i-1");
+        const auto* record = static_cast<const Succession::Means&>(control).recordTable().find("store/i-1");
         ASSERT_TRUE(record);
         // Gone stays gone where anything was known before; else the highest number counts.
         const bool knownBefore = order[0] != 2;
@@ -220,11 +220,11 @@
     world.run(millis(1500));
     const std::string self = standins::ControlWorld::address(0);
     ControlMember& member = *world.members[self].control;
-    const auto& board = static_cast<Succession::Means&>(member).board();
+    const auto& recordTable = static_cast<Succession::Means&>(member).recordTable();
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
     member.heard(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
-    gossip::News news;
+    gossip::UpdateBatch news;
     for (const char* name : {"front/f1", "member/10.0.0.9:80"}) {
         gossip::RecordUpdate update;
         update.name = name;
@@ -242,15 +242,15 @@
             world.carry(self);
         }
     };
-    pass(gossip::renewedWithin - millis(5'000));
+    pass(gossip::renewalTimeout - millis(5'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
-        EXPECT_TRUE(board.find(name)->body.is_object()) << name;
+        EXPECT_TRUE(recordTable.find(name)->body.is_object()) << name;
     pass(millis(10'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
-        EXPECT_TRUE(board.find(name)->body.is_null()) << name;
-    pass(gossip::renewedWithin);
-    EXPECT_FALSE(board.find("front/f1"));
-    EXPECT_TRUE(board.find("member/" + self)->body.is_object());
+        EXPECT_TRUE(recordTable.find(name)->body.is_null()) << name;
+    pass(gossip::renewalTimeout);
+    EXPECT_FALSE(recordTable.find("front/f1"));
+    EXPECT_TRUE(recordTable.find("member/" + self)->body.is_object());
 }
 // A voter that is away for hours is on record as long as the register names it, in contact with a majority or
 // not.
@@ -259,13 +259,13 @@
     world.run(millis(2000));
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
-    const auto& board = static_cast<Succession::Means&>(*world.members[here].control).board();
-    for (const Nanos until = world.now + 2 * gossip::renewedWithin; world.now < until;) {
+    const auto& recordTable = static_cast<Succession::Means&>(*world.members[here].control).recordTable();
+    for (const Nanos until = world.now + 2 * gossip::renewalTimeout; world.now < until;) {
         world.now += millis(49);  // so that each step is one in which members tick
         world.step();
     }
     EXPECT_GT(world.members[here].control->state(world.now)["lease_left_ms"].get<int>(), 0);
-    ASSERT_TRUE(board.find(away));
-    EXPECT_TRUE(board.find(away)->body.is_object());
+    ASSERT_TRUE(recordTable.find(away));
+    EXPECT_TRUE(recordTable.find(away)->body.is_object());
 }
 }  // namespace
--- a/tests/system/membership.cpp
+++ b/tests/system/membership.cpp
@@ -325,7 +325,7 @@
     EXPECT_LT(rig.untilEnded(at(1)), millis(1500));
     for (const std::string& name : rig.alive()) {
         const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
-        EXPECT_TRUE(means.board().find("store/i-9")) << name;
+        EXPECT_TRUE(means.recordTable().find("store/i-9")) << name;
         EXPECT_EQ(rig.votersAt(name), (Names{at(0), at(2), at(20)})) << name;
     }
 }
@@ -342,11 +342,11 @@
     EXPECT_TRUE(rig.taken(at(1), rig.puts.back().call));
     for (const std::string& name : rig.alive()) {
         const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
-        EXPECT_TRUE(means.board().find("store/i-9")) << name;
+        EXPECT_TRUE(means.recordTable().find("store/i-9")) << name;
     }
     // Nobody is there to hand over to, and its change can come to nothing: a bound ends it.
     rig.cutOff(at(2));
-    rig.members[at(2)].settings.grace_ms = 1500;
+    rig.members[at(2)].settings.shutdownGrace_ms = 1500;
     rig.kill(at(2));
     rig.start(at(2));
     rig.send(at(2));
--- a/tests/system/parents.cpp
+++ b/tests/system/parents.cpp
@@ -35,20 +35,21 @@
     Agent agent{agentSettings(), now};
     bool parentHasLease = true, parentTellsBoard = true;
 
-    void link(const std::string& address) { agent.upward(1, address, now); }
+    void link(const std::string& address) { agent.setParentLink(1, address, now); }
     void pass(Nanos time) {
         for (const Nanos end = now + time; now < end; now += millis(100)) {
             agent.tick(now);
-            for (const Agent::Said& said : agent.take()) answer(said);
+            for (const Agent::OutgoingMessage& said : agent.takeOutgoing()) answer(said);
         }
     }
-    void answer(const Agent::Said& said) {
+    void answer(const Agent::OutgoingMessage& said) {
         if (said.message["k"] == granitereel::gossip::Inventory::kind && parentTellsBoard)
-            agent.heard(said.link, granitereel::gossip::Complete{said.message["exchange"], 0}.toJson(), now);
+            agent.receive(said.link,
+                          granitereel::gossip::ExchangeComplete{said.message["exchange"], 0}.toJson(), now);
         if (said.message["k"] != granitereel::gossip::LeaseRequest::kind) return;
         const Nanos left = parentHasLease ? millis(700) : 0;
         const auto number = granitereel::gossip::LeaseRequest::fromJson(said.message).number;
-        agent.heard(said.link, granitereel::gossip::LeaseReply{number, left, {}}.toJson(), now);
+        agent.receive(said.link, granitereel::gossip::LeaseReply{number, left, {}}.toJson(), now);
     }
     // The agent itself was cut off for so long that each address failed often.
     void allFailed() {
@@ -73,9 +74,9 @@
 std::vector<std::string> dialled(LinkedAgent& rig, Nanos time) {
     std::vector<std::string> all;
     for (const Nanos end = rig.now + time; rig.now < end;) {
-        if (const auto address = rig.agent.dial(rig.now)) {
+        if (const auto address = rig.agent.nextDial(rig.now)) {
             all.push_back(*address);
-            rig.agent.unreachable(*address, rig.now);
+            rig.agent.dialFailed(*address, rig.now);
         }
         rig.pass(millis(100));
     }
@@ -104,17 +105,17 @@
     rig.parentHasLease = false;
     rig.pass(millis(1'200));
     const auto reply = [&](int link, Nanos left) {
-        rig.agent.heard(link, granitereel::gossip::LeaseReply{0, left, {}, 0}.toJson(), rig.now);
+        rig.agent.receive(link, granitereel::gossip::LeaseReply{0, left, {}, 0}.toJson(), rig.now);
     };
-    ASSERT_EQ(rig.agent.dial(rig.now), "10.1.0.2");
-    rig.agent.dialled(2, "10.1.0.2", rig.now);
+    ASSERT_EQ(rig.agent.nextDial(rig.now), "10.1.0.2");
+    rig.agent.dialSucceeded(2, "10.1.0.2", rig.now);
     reply(2, 0);
-    EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{2});
+    EXPECT_EQ(rig.agent.takeLinksToClose(), std::vector<int>{2});
     rig.pass(millis(100));
-    ASSERT_EQ(rig.agent.dial(rig.now), "10.1.0.3");
-    rig.agent.dialled(3, "10.1.0.3", rig.now);
+    ASSERT_EQ(rig.agent.nextDial(rig.now), "10.1.0.3");
+    rig.agent.dialSucceeded(3, "10.1.0.3", rig.now);
     reply(3, millis(400));
-    EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{1});  // the former parent
+    EXPECT_EQ(rig.agent.takeLinksToClose(), std::vector<int>{1});  // the former parent
     rig.parentHasLease = true;
     rig.pass(millis(300));
     EXPECT_GT(rig.agent.leaseUntil(), rig.now);
@@ -128,9 +129,10 @@
     rig.pass(millis(1'000));
     int link = 1;
     for (int round = 0; round < 8; ++round) {
-        if (const auto address = rig.agent.dial(rig.now)) rig.agent.dialled(++link, *address, rig.now);
+        if (const auto address = rig.agent.nextDial(rig.now))
+            rig.agent.dialSucceeded(++link, *address, rig.now);
         rig.pass(millis(1'000));
-        EXPECT_EQ(rig.agent.takeClosed(), std::vector<int>{link}) << round;
+        EXPECT_EQ(rig.agent.takeLinksToClose(), std::vector<int>{link}) << round;
     }
     EXPECT_EQ(rig.agent.violations(), 0u);
 }
@@ -153,14 +155,14 @@
     rig.parentHasLease = false;
     rig.pass(millis(1'000));
     dialled(rig, millis(2'900));
-    rig.agent.linkDown(1, rig.now);
+    rig.agent.linkClosed(1, rig.now);
     rig.pass(millis(200));
     EXPECT_EQ(rig.agent.violations(), 0u);
 }
 
 TEST(Parents, BackedOffSinceAllWereAwayAreTriedOnceOneIsBack) {
     LinkedAgent rig;
-    rig.agent.linkDown(1, rig.now);
+    rig.agent.linkClosed(1, rig.now);
     EXPECT_GE(dialled(rig, millis(7'000)).size(), 30u);
     rig.link("10.1.0.3");
     rig.pass(millis(600));
--- a/tests/system/pooler.cpp
+++ b/tests/system/pooler.cpp
@@ -366,7 +366,7 @@
     for (const bool contact : {true, false}) {
         PoolerRig rig;
         rig.leases = contact;
-        rig.pass(granitereel::gossip::presumedGoneAfter + millis(5'000));
+        rig.pass(granitereel::gossip::presumedExpiredAfter + millis(5'000));
         for (int i = 0; i < 4; ++i) {
             const int client = rig.client("primary");
             rig.say(client, "QUERY b BEGIN");
--- a/tests/system/promotion.cpp
+++ b/tests/system/promotion.cpp
@@ -659,9 +659,9 @@
             << guarantees;
         return settings::read(path);
     };
-    EXPECT_FALSE(read("").fenceChecked);
+    EXPECT_FALSE(read("").platformChecksFencingToken);
     EXPECT_EQ(read("").lease_ms, 0);
-    EXPECT_TRUE(read("fence_checked = true\n").fenceChecked);
+    EXPECT_TRUE(read("fence_checked = true\n").platformChecksFencingToken);
     EXPECT_EQ(read("lease_ms = 1500\n").lease_ms, 1500);
 }
 }  // namespace
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -35,7 +35,7 @@
 
     explicit Lone(std::map<std::string, Json> before = {}, Nanos at = millis(5'000))
         : now(at), disk(std::move(before)) {
-        settings.controlAddress = "a";
+        settings.controlListenAddress = "a";
         settings.station = "control-a";
         settings.seeds = {"b", "c"};
         settings.firstBoot = false;
@@ -55,7 +55,8 @@
                 if (!out) continue;
                 said.push_back(out->message);
                 if (out->message.at("k") == gossip::Inventory::kind)
-                    member->heard(out->link, gossip::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                    member->heard(out->link,
+                                  gossip::ExchangeComplete{out->message.at("exchange"), 0}.toJson(), now);
             }
     }
     void hear(int link, const Json& message) {
@@ -99,7 +100,7 @@
         return said.at(0).at("c").get<LeadMarks>();
     }
     void news(const std::string& name, std::uint64_t version, const Json& body) {
-        hear(1, gossip::News{{{name, {version, 0}, std::nullopt, body}}}.toJson());
+        hear(1, gossip::UpdateBatch{{{name, {version, 0}, std::nullopt, body}}}.toJson());
     }
     bool votes() const { return member->state(now)["votes"]; }
     int lease() const { return member->state(now)["lease_left_ms"]; }
@@ -363,7 +364,7 @@
     world.run(millis(2000));
     const std::string fourth = World::address(3);
     world.members[fourth].settings = world.members[World::address(0)].settings;
-    world.members[fourth].settings.controlAddress = fourth;
+    world.members[fourth].settings.controlListenAddress = fourth;
     world.members[fourth].settings.firstBoot = false;
     for (const int other : {1, 2}) world.cut.insert({World::address(other), fourth});
     world.start(fourth);
@@ -437,7 +438,7 @@
         world.run(millis(100));
         ASSERT_TRUE(world.taken(World::address(2), call));
         world.members[successor].settings = world.members[World::address(0)].settings;
-        world.members[successor].settings.controlAddress = successor;
+        world.members[successor].settings.controlListenAddress = successor;
         world.members[successor].settings.firstBoot = false;
         world.kill(gone);
         world.start(successor);
