--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <string>
 
-#include "board/lease.hpp"
+#include "gossip/lease.hpp"
 #include "nanoseconds.hpp"
 
 namespace granitereel::control {
@@ -21,7 +21,7 @@
     // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
     // that counts from a lease before and whose clock is slow.
     static constexpr unsigned grownUp = 3;
-    static constexpr Nanoseconds step = (board::recordsRestedOnFor + milliseconds(5000)) / grownUp;
+    static constexpr Nanoseconds step = (gossip::recordsUsableAfterLease + milliseconds(5000)) / grownUp;
 
     // What the record says now.
     void note(const YoungReplicas& onRecord, Nanoseconds now);
--- a/src/proxy/news.cpp
+++ b/src/proxy/news.cpp
@@ -17,27 +17,27 @@
     agent_ = true;
     askedAt_ = 0;
     gossip_.advance(now, lease_.valid(now));
-    gossip_.join(agentLink, board::Side::dialler);
+    gossip_.addLink(agentLink, gossip::Side::dialler);
     settle();
 }
 
 void Pooler::agentDown() {
     agent_ = false;
-    gossip_.leave(agentLink);
-    leaseQuestions_.forget();
+    gossip_.removeLink(agentLink);
+    leaseQuestions_.clear();
 }
 
 void Pooler::agentSaid(const Json& message, Nanoseconds now) {
     begin(now);
     const std::string kind = message.at("k");
     gossip_.advance(now, lease_.valid(now));
-    if (board::isGossip(kind)) {
-        gossip_.heard(agentLink, message);
-    } else if (kind == board::LeaseReply::kind) {
-        const board::LeaseReply reply = board::LeaseReply::fromJson(message);
-        const auto asked = leaseQuestions_.answered(reply.number);
+    if (gossip::isGossipMessage(kind)) {
+        gossip_.receive(agentLink, message);
+    } else if (kind == gossip::LeaseReply::kind) {
+        const gossip::LeaseReply reply = gossip::LeaseReply::fromJson(message);
+        const auto asked = leaseQuestions_.complete(reply.number);
         if (!asked) return settle();
-        lease_.granted(*asked, reply, toldBeforeLease(reply));
+        lease_.applyReply(*asked, reply, toldBeforeLease(reply));
         for (auto& [name, of] : services_)
             if (provable(*of)) of->evidence.settledUntil(lease_.until());
         judgeUnproven();
@@ -46,21 +46,21 @@
 }
 
 // Whether all is here that the agent held when it gave the lease.
-bool Pooler::toldBeforeLease(const board::LeaseReply& reply) {
-    if (!gossip_.complete(agentLink)) return false;
-    const std::uint64_t held = board::configurationVersion(gossip_.board());
-    if (held >= reply.configuration) return true;
+bool Pooler::toldBeforeLease(const gossip::LeaseReply& reply) {
+    if (!gossip_.isComplete(agentLink)) return false;
+    const std::uint64_t held = gossip::configurationVersion(gossip_.recordTable());
+    if (held >= reply.configurationVersion) return true;
     reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and the agent holds " +
-                                       std::to_string(reply.configuration));
-    gossip_.exchangeAnew(agentLink);
+                                       std::to_string(reply.configurationVersion));
+    gossip_.restartExchange(agentLink);
     return false;
 }
 
-void Pooler::reportBroken(board::Invariant& invariant, const std::string& detail) {
+void Pooler::reportBroken(gossip::Invariant& invariant, const std::string& detail) {
     if (const auto line = invariant.check(false, detail)) log(*line);
 }
 
-void Pooler::news(const std::string& name, const board::Record& record) {
+void Pooler::news(const std::string& name, const gossip::Record& record) {
     if (name == "config") {
         configNews(record.body);
     } else if (name.starts_with("store/")) {
@@ -69,7 +69,8 @@
         leadNews(name.substr(5), record.body);
     } else if (name.starts_with("front/")) {
         int fronts = 0;
-        gossip_.board().under("front/", [&](auto&, const board::Record& r) { fronts += r.body.is_object(); });
+        gossip_.recordTable().forEachWithPrefix(
+            "front/", [&](auto&, const gossip::Record& r) { fronts += r.body.is_object(); });
         fronts_ = std::max(1, fronts);
         front_.setProxyCount(fronts_);
     }
@@ -79,14 +80,14 @@
     // Of what stands on the board only higher versions come here; what was once in force is never gone back
     // from.
     const std::uint64_t before = configuration_.edition;
-    configuration_ = configuration::read(body);
+    configuration_ = configuration::parse(body);
     if (configured_ && configuration_.edition <= before)
         reportBroken(configurationsRise_,
                      std::to_string(configuration_.edition) + " after " + std::to_string(before));
     if (!std::exchange(configured_, true)) configuredAt_ = now_;
     for (const configuration::Service& each : configuration_.services) {
         Service& of = service(each.name);
-        of.berthCap = each.berthCap;
+        of.berthCap = each.connectionLimit;
         of.syncReplicas = each.syncReplicas;
     }
     outputs_.push_back(ToLog{"configuration " + std::to_string(configuration_.edition) + " in force"});
@@ -196,7 +197,7 @@
 
 // A front whose record may have been taken down has no share any more but for one connection.
 int Pooler::share(const Service& of) const {
-    if (now_ - std::max(lease_.until(), startedAt_) > board::presumedGoneAfter) return 1;
+    if (now_ - std::max(lease_.until(), startedAt_) > gossip::presumedExpiredAfter) return 1;
     // Some are left to control, which asks stores how they are.
     return of.berthCap == 0 ? 64 : std::max(1, (of.berthCap - 2) / fronts_);
 }
--- a/src/proxy/statements.cpp
+++ b/src/proxy/statements.cpp
@@ -15,9 +15,9 @@
 int Pooler::laneOf(const configuration::Route& route, bool writes, bool transaction) {
     TransactionClass transactionClass;
     const bool plain = writes;
-    transactionClass.consistency = plain                                           ? Consistency::write
-                                   : route.mode == configuration::Mode::headOffice ? Consistency::strong
-                                   : route.mode == configuration::Mode::ageBounded
+    transactionClass.consistency = plain                                            ? Consistency::write
+                                   : route.mode == configuration::ReadMode::primary ? Consistency::strong
+                                   : route.mode == configuration::ReadMode::boundedStaleness
                                        ? Consistency::bounded
                                        : Consistency::session;
     transactionClass.retrySafety = plain || transaction ? RetrySafety::unsafe : RetrySafety::idempotent;
@@ -67,9 +67,10 @@
     s.op->key = std::to_string(++keyNo_);
     byKey_[s.op->key] = &s;
     const Nanoseconds seen = std::max(s.ownAt, now_ - milliseconds(route->staleness_ms));
-    front_.submit(
-        s.op->key, s.op->classIndex, "", milliseconds(route->deadline_ms), service(route->service).group,
-        route->mode == configuration::Mode::own ? std::optional<Nanoseconds>(now_ - seen) : std::nullopt);
+    front_.submit(s.op->key, s.op->classIndex, "", milliseconds(route->deadline_ms),
+                  service(route->service).group,
+                  route->mode == configuration::ReadMode::ownWrites ? std::optional<Nanoseconds>(now_ - seen)
+                                                                    : std::nullopt);
 }
 
 void Pooler::startAttempt(const std::string& key, const std::string& store, Nanoseconds) {
--- a/standins/gossip_world.hpp
+++ b/standins/gossip_world.hpp
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "board/gossip.hpp"
+#include "gossip/record_replicator.hpp"
 
 namespace granitereel::standins {
 
 struct GossipWorld {
-    using Versions = std::map<std::string, board::Version>;
+    using Versions = std::map<std::string, gossip::Version>;
     struct Packet {
-        board::Json message;
+        gossip::Json message;
         Versions held;  // by the sender, when it was sent
     };
     struct Wire {
@@ -24,49 +24,49 @@
         std::deque<Packet> packets;
     };
     struct Node {
-        std::unique_ptr<board::Gossip> gossip;
+        std::unique_ptr<gossip::RecordReplicator> gossip;
         bool inContact = true;
     };
 
     std::map<int, Node> nodes;
     std::map<int, Wire> wires;  // by the sender's link
-    std::map<int, board::Side> sides;
+    std::map<int, gossip::Side> sides;
     std::size_t bytes = 0, messages = 0, largest = 0;
     int brokenPromises = 0;
     Nanoseconds now = milliseconds(1'000'000);
     int lastLink = 0;
 
     void start(int node) {
-        nodes[node].gossip = std::make_unique<board::Gossip>(
-            [this, node](int link, board::Json message) { sent(node, link, std::move(message)); },
+        nodes[node].gossip = std::make_unique<gossip::RecordReplicator>(
+            [this, node](int link, gossip::Json message) { sent(node, link, std::move(message)); },
             [](auto&, auto&) {});
         nodes[node].gossip->advance(now, nodes[node].inContact);
     }
-    board::Gossip& at(int node) { return *nodes.at(node).gossip; }
+    gossip::RecordReplicator& at(int node) { return *nodes.at(node).gossip; }
 
-    static Versions versionsOf(const board::Board& board) {
+    static Versions versionsOf(const gossip::RecordTable& recordTable) {
         Versions all;
-        for (const auto& [name, record] : board.all()) all[name] = record.version;
+        for (const auto& [name, record] : recordTable.all()) all[name] = record.version;
         return all;
     }
-    void sent(int node, int link, board::Json message) {
+    void sent(int node, int link, gossip::Json message) {
         const auto wire = wires.find(link);
         if (wire == wires.end()) return;
         const std::size_t size = message.dump().size() + 1;
         bytes += size;
         ++messages;
         largest = std::max(largest, size);
-        wire->second.packets.push_back({std::move(message), versionsOf(at(node).board())});
+        wire->second.packets.push_back({std::move(message), versionsOf(at(node).recordTable())});
     }
     // Returns the dialler's link.
     int connect(int dialler, int acceptor, bool named = false) {
         const int a = ++lastLink, b = ++lastLink;
         wires[a] = {dialler, acceptor, b, {}};
         wires[b] = {acceptor, dialler, a, {}};
-        sides[a] = board::Side::dialler;
-        sides[b] = board::Side::acceptor;
-        at(acceptor).join(b, board::Side::acceptor, named ? std::to_string(dialler) : "");
-        at(dialler).join(a, board::Side::dialler, named ? std::to_string(acceptor) : "");
+        sides[a] = gossip::Side::dialler;
+        sides[b] = gossip::Side::acceptor;
+        at(acceptor).addLink(b, gossip::Side::acceptor, named ? std::to_string(dialler) : "");
+        at(dialler).addLink(a, gossip::Side::dialler, named ? std::to_string(acceptor) : "");
         return a;
     }
     void cut(int link) {
@@ -74,8 +74,8 @@
         const int other = wire.linkAtReceiver;
         wires.erase(link);
         wires.erase(other);
-        if (nodes[wire.from].gossip) at(wire.from).leave(link);
-        if (nodes[wire.to].gossip) at(wire.to).leave(other);
+        if (nodes[wire.from].gossip) at(wire.from).removeLink(link);
+        if (nodes[wire.to].gossip) at(wire.to).removeLink(other);
     }
     void kill(int node) {
         std::vector<int> ends;
@@ -97,9 +97,9 @@
         const Packet packet = std::move(wire.packets.front());
         wire.packets.pop_front();
         const int receiver = wire.to, receiverLink = wire.linkAtReceiver;
-        at(receiver).heard(receiverLink, packet.message);
-        if (sides.at(receiverLink) != board::Side::dialler || !at(receiver).complete(receiverLink)) return;
-        const Versions mine = versionsOf(at(receiver).board());
+        at(receiver).receive(receiverLink, packet.message);
+        if (sides.at(receiverLink) != gossip::Side::dialler || !at(receiver).isComplete(receiverLink)) return;
+        const Versions mine = versionsOf(at(receiver).recordTable());
         for (const auto& [name, version] : packet.held) {
             const auto known = mine.find(name);
             brokenPromises += known == mine.end() || known->second < version;
@@ -116,7 +116,9 @@
             settle();
         }
     }
-    bool equal(int one, int other) { return versionsOf(at(one).board()) == versionsOf(at(other).board()); }
+    bool equal(int one, int other) {
+        return versionsOf(at(one).recordTable()) == versionsOf(at(other).recordTable());
+    }
     void resetCounts() { bytes = messages = largest = 0; }
 };
 
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -122,7 +122,7 @@
                 EXPECT_EQ(answer->kind, Kind::taken);
             }
         }
-        const auto* record = static_cast<const Succession::Means&>(control).board().find("store/i-1");
+        const auto* record = static_cast<const Succession::Means&>(control).recordTable().find("store/i-1");
         ASSERT_TRUE(record);
         // Gone stays gone where anything was known before; else the highest number counts.
         const bool knownBefore = order[0] != 2;
@@ -220,13 +220,13 @@
     world.run(milliseconds(1500));
     const std::string self = standins::ControlWorld::address(0);
     ControlMember& member = *world.members[self].control;
-    const auto& board = static_cast<Succession::Means&>(member).board();
+    const auto& recordTable = static_cast<Succession::Means&>(member).recordTable();
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
     member.heard(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
-    board::News news;
+    gossip::UpdateBatch news;
     for (const char* name : {"front/f1", "member/10.0.0.9:80"}) {
-        board::RecordUpdate update;
+        gossip::RecordUpdate update;
         update.name = name;
         update.version = {1, 1};
         update.body = {{"ip", "10.0.0.9"}};
@@ -242,15 +242,15 @@
             world.carry(self);
         }
     };
-    pass(board::renewedWithin - milliseconds(5'000));
+    pass(gossip::renewalTimeout - milliseconds(5'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
-        EXPECT_TRUE(board.find(name)->body.is_object()) << name;
+        EXPECT_TRUE(recordTable.find(name)->body.is_object()) << name;
     pass(milliseconds(10'000));
     for (const char* name : {"front/f1", "member/10.0.0.9:80"})
-        EXPECT_TRUE(board.find(name)->body.is_null()) << name;
-    pass(board::renewedWithin);
-    EXPECT_FALSE(board.find("front/f1"));
-    EXPECT_TRUE(board.find("member/" + self)->body.is_object());
+        EXPECT_TRUE(recordTable.find(name)->body.is_null()) << name;
+    pass(gossip::renewalTimeout);
+    EXPECT_FALSE(recordTable.find("front/f1"));
+    EXPECT_TRUE(recordTable.find("member/" + self)->body.is_object());
 }
 // A voter that is away for hours is on record as long as the register names it, in contact with a majority or
 // not.
@@ -259,13 +259,13 @@
     world.run(milliseconds(2000));
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
-    const auto& board = static_cast<Succession::Means&>(*world.members[here].control).board();
-    for (const Nanoseconds until = world.now + 2 * board::renewedWithin; world.now < until;) {
+    const auto& recordTable = static_cast<Succession::Means&>(*world.members[here].control).recordTable();
+    for (const Nanoseconds until = world.now + 2 * gossip::renewalTimeout; world.now < until;) {
         world.now += milliseconds(49);  // so that each step is one in which members tick
         world.step();
     }
     EXPECT_GT(world.members[here].control->state(world.now)["lease_left_ms"].get<int>(), 0);
-    ASSERT_TRUE(board.find(away));
-    EXPECT_TRUE(board.find(away)->body.is_object());
+    ASSERT_TRUE(recordTable.find(away));
+    EXPECT_TRUE(recordTable.find(away)->body.is_object());
 }
 }  // namespace
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "board/messages.hpp"
+#include "gossip/messages.hpp"
 #include "standins/control_world.hpp"
 
 namespace {
@@ -35,7 +35,7 @@
 
     explicit Lone(std::map<std::string, Json> before = {}, Nanoseconds at = milliseconds(5'000))
         : now(at), disk(std::move(before)) {
-        settings.controlAddress = "a";
+        settings.controlListenAddress = "a";
         settings.station = "control-a";
         settings.seeds = {"b", "c"};
         settings.firstBoot = false;
@@ -54,8 +54,9 @@
                 auto* out = std::get_if<ToLink>(&each);
                 if (!out) continue;
                 said.push_back(out->message);
-                if (out->message.at("k") == board::Inventory::kind)
-                    member->heard(out->link, board::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                if (out->message.at("k") == gossip::Inventory::kind)
+                    member->heard(out->link,
+                                  gossip::ExchangeComplete{out->message.at("exchange"), 0}.toJson(), now);
             }
     }
     void hear(int link, const Json& message) {
@@ -99,7 +100,7 @@
         return said.at(0).at("c").get<LeadMarks>();
     }
     void news(const std::string& name, std::uint64_t version, const Json& body) {
-        hear(1, board::News{{{name, {version, 0}, std::nullopt, body}}}.toJson());
+        hear(1, gossip::UpdateBatch{{{name, {version, 0}, std::nullopt, body}}}.toJson());
     }
     bool votes() const { return member->state(now)["votes"]; }
     int lease() const { return member->state(now)["lease_left_ms"]; }
@@ -363,7 +364,7 @@
     world.run(milliseconds(2000));
     const std::string fourth = World::address(3);
     world.members[fourth].settings = world.members[World::address(0)].settings;
-    world.members[fourth].settings.controlAddress = fourth;
+    world.members[fourth].settings.controlListenAddress = fourth;
     world.members[fourth].settings.firstBoot = false;
     for (const int other : {1, 2}) world.cut.insert({World::address(other), fourth});
     world.start(fourth);
@@ -438,7 +439,7 @@
         world.run(milliseconds(100));
         ASSERT_TRUE(world.taken(World::address(2), call));
         world.members[successor].settings = world.members[World::address(0)].settings;
-        world.members[successor].settings.controlAddress = successor;
+        world.members[successor].settings.controlListenAddress = successor;
         world.members[successor].settings.firstBoot = false;
         world.kill(gone);
         world.start(successor);
