--- a/src/control/ballot.cpp
+++ b/src/control/ballot.cpp
@@ -7,16 +7,16 @@
     return {{"round", ballot.round},
             {"member", ballot.proposer.member},
             {"incarnation", ballot.proposer.incarnation},
-            {"life", ballot.proposer.life}};
+            {"life", ballot.proposer.processIncarnation}};
 }
 
-Ballot ballotFromJson(const Json& text) {
-    if (text.is_null()) return {};
-    return {text.at("round"), {text.at("member"), text.at("incarnation"), text.at("life")}};
+Ballot ballotFromJson(const Json& json) {
+    if (json.is_null()) return {};
+    return {json.at("round"), {json.at("member"), json.at("incarnation"), json.at("life")}};
 }
 
-std::uint64_t nextLife(const std::map<std::string, Json>& disk) {
-    const auto last = disk.find(lifeKey);
+std::uint64_t nextProcessIncarnation(const std::map<std::string, Json>& disk) {
+    const auto last = disk.find(processIncarnationKey);
     return last == disk.end() ? 1 : last->second.get<std::uint64_t>() + 1;
 }
 
--- a/src/control/call_router.cpp
+++ b/src/control/call_router.cpp
@@ -7,7 +7,7 @@
 
 namespace granitereel::control {
 
-void CallRouter::answer(std::uint64_t call, Kind kind, std::string body) {
+void CallRouter::answer(std::uint64_t call, CallOutcome kind, std::string body) {
     open_.erase(call);
     means_.toCaller({call, kind, std::move(body), {}});
 }
@@ -17,7 +17,7 @@
     const std::string place = path.empty() ? "" : path[0];
     const std::string what = method + " " + place + (path.size() > 1 ? "/ID" : "");
     const bool known = place == "config" || place == "stores" || place == "state";
-    if (means_.leaving() && known && place != "state") return answer(call, Kind::leaving);
+    if (means_.leaving() && known && place != "state") return answer(call, CallOutcome::shuttingDown);
     open_[call] = {"/" + place + (path.size() > 1 ? "/" + path[1] : ""), now + answeredWithin};
     if (path.size() <= 2) {
         if (what == "PUT stores/ID") return storeCalled(call, path[1], body, now);
@@ -30,9 +30,9 @@
         if (what == "GET config")
             return whenLeased(
                 call, [this, call](Nanos then, Nanos until) { operators_.get(call, then, until); }, now);
-        if (what == "GET state") return answer(call, Kind::taken, means_.stateText(now));
+        if (what == "GET state") return answer(call, CallOutcome::accepted, means_.stateText(now));
     }
-    answer(call, known ? Kind::notAllowed : Kind::notFound);
+    answer(call, known ? CallOutcome::methodNotAllowed : CallOutcome::notFound);
 }
 
 // What is invalid is so for any member; all else waits for contact with a majority.
@@ -41,7 +41,7 @@
     try {
         said = StoreCall::fromJson(id, body);
     } catch (const Json::exception&) {
-        return answer(call, Kind::notSound, R"({"fault":"not a store's call"})");
+        return answer(call, CallOutcome::invalid, R"({"fault":"not a store's call"})");
     }
     whenLeased(
         call, [this, call, said](Nanos then, Nanos until) { stores_.called(call, said, until, then); }, now);
@@ -53,9 +53,9 @@
         configuration::read(body);
         sent = Json::parse(body);
     } catch (const configuration::Invalid& fault) {
-        return answer(call, Kind::notSound, Json{{"fault", fault.what()}}.dump());
+        return answer(call, CallOutcome::invalid, Json{{"fault", fault.what()}}.dump());
     }
-    if (means_.diskRefuses()) return answer(call, Kind::unready);
+    if (means_.diskRefuses()) return answer(call, CallOutcome::notReady);
     whenLeased(
         call,
         [this, call, sent = std::move(sent)](Nanos then, Nanos until) {
@@ -72,20 +72,20 @@
 }
 
 // What failed for want of a majority is sent on to a member that has one, where one is known.
-void CallRouter::answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanos now) {
-    const bool failed = kind == Kind::noMajority || kind == Kind::unready;
+void CallRouter::answerOrSendOn(std::uint64_t call, CallOutcome kind, std::string body, Nanos now) {
+    const bool failed = kind == CallOutcome::noMajority || kind == CallOutcome::notReady;
     if (!failed) return answer(call, kind, std::move(body));
-    const std::optional<std::string> member = means_.leased(now) ? std::nullopt : contacts_.best(now);
+    const std::optional<std::string> member = means_.leased(now) ? std::nullopt : contacts_.longestLease(now);
     if (!member) return answer(call, kind);
-    means_.toCaller({call, Kind::elsewhere, {}, "http://" + *member + open_[call].path});
+    means_.toCaller({call, CallOutcome::redirected, {}, "http://" + *member + open_[call].path});
     open_.erase(call);
 }
 
 void CallRouter::serveWaiting(Nanos now) {
     if (means_.leased(now))
-        for (const WaitingCalls::Call& each : waiting_.takeAll()) each.run(now);
-    for (const WaitingCalls::Call& each : waiting_.takeOverdue(now))
-        answerOrSendOn(each.number, Kind::noMajority, {}, now);
+        for (const CallsAwaitingLease::Call& each : waiting_.takeAll()) each.run(now);
+    for (const CallsAwaitingLease::Call& each : waiting_.takeExpired(now))
+        answerOrSendOn(each.number, CallOutcome::noMajority, {}, now);
 }
 
 }  // namespace granitereel::control
--- a/src/control/call_router.hpp
+++ b/src/control/call_router.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "control/contact.hpp"
+#include "control/call_redirects.hpp"
 #include "control/operator_calls.hpp"
 #include "control/outputs.hpp"
 #include "control/store_registry.hpp"
@@ -38,12 +38,12 @@
     void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
               const std::string& body, Nanos now);
     // The final answer, or the way to a member that has a majority where this one hasn't.
-    void answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanos now);
+    void answerOrSendOn(std::uint64_t call, CallOutcome kind, std::string body, Nanos now);
     // Runs what waited for the lease, and ends what waited for too long.
     void serveWaiting(Nanos now);
     // Whether no call is under way.
     bool idle() const { return open_.empty(); }
-    Contacts& contacts() { return contacts_; }
+    RedirectHints& contacts() { return contacts_; }
 
     // Callers wait a second; with a tick of 50 ms and the way this is within it.
     static constexpr Nanos answeredWithin = millis(850);
@@ -53,7 +53,7 @@
         std::string path;  // as it was called
         Nanos until = 0;   // the latest moment of its answer
     };
-    void answer(std::uint64_t call, Kind kind, std::string body = {});
+    void answer(std::uint64_t call, CallOutcome kind, std::string body = {});
     void storeCalled(std::uint64_t call, const std::string& id, const std::string& body, Nanos now);
     void configSent(std::uint64_t call, const std::string& body, Nanos now);
     void whenLeased(std::uint64_t call, std::function<void(Nanos now, Nanos until)> run, Nanos now);
@@ -61,8 +61,8 @@
     Means& means_;
     StoreRegistry& stores_;
     OperatorCalls& operators_;
-    Contacts contacts_;
-    WaitingCalls waiting_;
+    RedirectHints contacts_;
+    CallsAwaitingLease waiting_;
     std::map<std::uint64_t, OpenCall> open_;
 };
 
--- a/src/control/disk.cpp
+++ b/src/control/disk.cpp
@@ -15,54 +15,54 @@
 namespace {
 // A few hundred registers of some KB: small buffers keep memory and the time to open small.
 constexpr std::size_t writeBufferBytes = 1 << 20;
-constexpr int openFiles = 64;
+constexpr int maxOpenFiles = 64;
 
 // A disk that refuses says so by an I/O error; everything else is about what the files hold.
-void require(const leveldb::Status& status) {
+void throwIfFailed(const leveldb::Status& status) {
     if (status.ok()) return;
-    throw DiskError(status.IsIOError() ? DiskFault::refuses : DiskFault::lost, status.ToString());
+    throw DiskError(status.IsIOError() ? DiskFault::ioError : DiskFault::lost, status.ToString());
 }
 
-bool isLog(const std::string& name) {
+bool isLogFile(const std::string& name) {
     return name.ends_with(".log");
 }
 }  // namespace
 
-DiskBackend machineDisk() {
-    return {leveldb::Env::Default(), syncFolder};
+DiskBackend systemDisk() {
+    return {leveldb::Env::Default(), syncDirectory};
 }
 
-Disk::Disk(std::string folder, DiskBackend backend, DrawIncarnation draw)
-    : folder_(std::move(folder)),
-      env_(*backend.env, std::move(backend.syncFolder), folder_ + "/state", folder_ + "/logs"),
-      draw_(std::move(draw)) {
-    makeFolder();
-    bool promised = true;  // whether a vote may have been given on what stood here
+Disk::Disk(std::string directory, DiskBackend backend, GenerateIncarnation generate)
+    : directory_(std::move(directory)),
+      env_(*backend.env, std::move(backend.syncDirectory), directory_ + "/state", directory_ + "/logs"),
+      generateIncarnation_(std::move(generate)) {
+    createDirectory();
+    bool mayHaveVoted = true;  // whether a vote may have been given on what stood here
     try {
         const std::optional<Identity> identity = readIdentity();
-        promised = identity ? identity->ready || identity->afterLoss : stateFolderHoldsFiles();
+        mayHaveVoted = identity ? identity->ready || identity->stateWasLost : stateDirectoryHasFiles();
         if (identity && identity->ready) {
             identity_ = *identity;
             openExisting();
             return;
         }
     } catch (const DiskError& error) {
-        if (error.fault() == DiskFault::refuses) throw;
+        if (error.fault() == DiskFault::ioError) throw;
     }
-    identity_ = {false, promised, draw_()};
-    create();
+    identity_ = {false, mayHaveVoted, generateIncarnation_()};
+    createState();
 }
 
 Disk::~Disk() = default;
 
-void Disk::makeFolder() {
-    if (!env_.FileExists(folder_)) require(env_.CreateDir(folder_));
+void Disk::createDirectory() {
+    if (!env_.FileExists(directory_)) throwIfFailed(env_.CreateDir(directory_));
 }
 
 std::optional<Disk::Identity> Disk::readIdentity() {
     if (!env_.FileExists(identityPath())) return std::nullopt;
     std::string text;
-    require(leveldb::ReadFileToString(&env_, identityPath(), &text));
+    throwIfFailed(leveldb::ReadFileToString(&env_, identityPath(), &text));
     try {
         const auto body = nlohmann::json::parse(text);
         return Identity{body.at("ready"), body.at("after_loss"), body.at("incarnation")};
@@ -73,30 +73,30 @@
 
 void Disk::writeIdentity() {
     const nlohmann::json body{{"ready", identity_.ready},
-                              {"after_loss", identity_.afterLoss},
+                              {"after_loss", identity_.stateWasLost},
                               {"incarnation", identity_.incarnation}};
-    require(replaceFile(env_, identityPath(), body.dump()));
+    throwIfFailed(replaceFile(env_, identityPath(), body.dump()));
 }
 
-bool Disk::stateFolderHoldsFiles() {
+bool Disk::stateDirectoryHasFiles() {
     std::vector<std::string> names;
     if (!env_.FileExists(statePath())) return false;
-    require(env_.GetChildren(statePath(), &names));
+    throwIfFailed(env_.GetChildren(statePath(), &names));
     return std::any_of(names.begin(), names.end(),
                        [](const auto& name) { return name != "." && name != ".."; });
 }
 
 // The new identity is durable, as one being made, before the old state goes: whatever dies between finds that
 // a state was lost here. It is ready only behind a state that holds its name.
-void Disk::create() {
+void Disk::createState() {
     db_.reset();
     writeIdentity();
     removeState();
-    if (!env_.FileExists(statePath())) require(env_.CreateDir(statePath()));
+    if (!env_.FileExists(statePath())) throwIfFailed(env_.CreateDir(statePath()));
     open(true);
-    DiskRecords whose{{std::string(incarnationRecord), identity_.incarnation}};
-    if (identity_.afterLoss) whose[std::string(afterLossRecord)] = true;
-    write(whose);
+    DiskRecords identityRecords{{std::string(incarnationRecord), identity_.incarnation}};
+    if (identity_.stateWasLost) identityRecords[std::string(afterLossRecord)] = true;
+    write(identityRecords);
     identity_.ready = true;
     writeIdentity();
 }
@@ -104,81 +104,83 @@
 void Disk::removeState() {
     std::vector<std::string> names;
     if (!env_.FileExists(statePath())) return;
-    require(env_.GetChildren(statePath(), &names));
-    env_.forget();
+    throwIfFailed(env_.GetChildren(statePath(), &names));
+    env_.clearList();
     for (const std::string& name : names)
-        if (name != "." && name != "..") require(env_.RemoveFile(statePath() + "/" + name));
+        if (name != "." && name != "..") throwIfFailed(env_.RemoveFile(statePath() + "/" + name));
 }
 
 void Disk::openExisting() {
-    require(env_.require());
-    cutTornTails();
+    throwIfFailed(env_.verifyListedLogs());
+    truncateTornTails();
     open(false);
-    const DiskRecords records = all();
+    const DiskRecords records = readAll();
     const auto found = records.find(std::string(incarnationRecord));
     if (found == records.end() || found->second != identity_.incarnation)
         throw DiskError(DiskFault::lost, "the state is not that of its identity");
 }
 
 // LevelDB takes a torn write for damage, unless it is a mere cut. What was not synced was promised to nobody.
-void Disk::cutTornTails() {
+void Disk::truncateTornTails() {
     std::vector<std::string> names;
-    require(env_.GetChildren(statePath(), &names));
+    throwIfFailed(env_.GetChildren(statePath(), &names));
     for (const std::string& name : names)
-        if (isLog(name)) cutTornTail(statePath() + "/" + name);
+        if (isLogFile(name)) truncateTornTail(statePath() + "/" + name);
     std::string current;
-    require(leveldb::ReadFileToString(&env_, statePath() + "/CURRENT", &current));
+    throwIfFailed(leveldb::ReadFileToString(&env_, statePath() + "/CURRENT", &current));
     if (current.empty() || current.back() != '\n') throw DiskError(DiskFault::lost, "CURRENT is not whole");
     current.pop_back();
-    cutTornTail(statePath() + "/" + current);
+    truncateTornTail(statePath() + "/" + current);
 }
 
-void Disk::cutTornTail(const std::string& path) {
+void Disk::truncateTornTail(const std::string& path) {
     std::string content;
-    require(leveldb::ReadFileToString(&env_, path, &content));
+    throwIfFailed(leveldb::ReadFileToString(&env_, path, &content));
     const LogTail found = inspectLog(content);
-    if (found.tail == Tail::damaged) throw DiskError(DiskFault::lost, path + " is damaged");
-    if (found.tail == Tail::torn) require(replaceFile(env_, path, content.substr(0, found.sound)));
+    if (found.tail == TailState::corrupt) throw DiskError(DiskFault::lost, path + " is damaged");
+    if (found.tail == TailState::torn)
+        throwIfFailed(replaceFile(env_, path, content.substr(0, found.validBytes)));
 }
 
-void Disk::open(bool make) {
+void Disk::open(bool createNew) {
     leveldb::Options options;
     options.env = &env_;
     options.info_log = logger_.get();
-    options.create_if_missing = make;
-    options.error_if_exists = make;
+    options.create_if_missing = createNew;
+    options.error_if_exists = createNew;
     options.paranoid_checks = true;
     options.write_buffer_size = writeBufferBytes;
-    options.max_open_files = openFiles;
+    options.max_open_files = maxOpenFiles;
     options.compression = leveldb::kNoCompression;
     leveldb::DB* opened = nullptr;
-    require(leveldb::DB::Open(options, statePath(), &opened));
+    throwIfFailed(leveldb::DB::Open(options, statePath(), &opened));
     db_.reset(opened);
 }
 
-DiskRecords Disk::all() const {
-    leveldb::ReadOptions checked;
-    checked.verify_checksums = true;
-    DiskRecords found;
-    const std::unique_ptr<leveldb::Iterator> at(db_->NewIterator(checked));
-    for (at->SeekToFirst(); at->Valid(); at->Next()) {
-        auto body = nlohmann::json::parse(at->value().ToString(), nullptr, false);
-        if (body.is_discarded()) throw DiskError(DiskFault::lost, at->key().ToString() + " is not JSON");
-        found[at->key().ToString()] = std::move(body);
+DiskRecords Disk::readAll() const {
+    leveldb::ReadOptions readOptions;
+    readOptions.verify_checksums = true;
+    DiskRecords records;
+    const std::unique_ptr<leveldb::Iterator> iterator(db_->NewIterator(readOptions));
+    for (iterator->SeekToFirst(); iterator->Valid(); iterator->Next()) {
+        auto body = nlohmann::json::parse(iterator->value().ToString(), nullptr, false);
+        if (body.is_discarded())
+            throw DiskError(DiskFault::lost, iterator->key().ToString() + " is not JSON");
+        records[iterator->key().ToString()] = std::move(body);
     }
-    require(at->status());
-    return found;
+    throwIfFailed(iterator->status());
+    return records;
 }
 
 void Disk::write(const DiskRecords& records) {
-    if (!db_) throw DiskError(DiskFault::refuses, "not open");
+    if (!db_) throw DiskError(DiskFault::ioError, "not open");
     leveldb::WriteBatch batch;
     for (const auto& [name, body] : records) batch.Put(name, body.dump());
-    leveldb::WriteOptions synced;
-    synced.sync = true;
-    const leveldb::Status status = db_->Write(synced, &batch);
+    leveldb::WriteOptions writeOptions;
+    writeOptions.sync = true;
+    const leveldb::Status status = db_->Write(writeOptions, &batch);
     // Whatever the cause, the store is opened again before it is trusted: that tells whether it is lost.
-    if (!status.ok()) throw DiskError(DiskFault::refuses, status.ToString());
+    if (!status.ok()) throw DiskError(DiskFault::ioError, status.ToString());
 }
 
 // LevelDB keeps the error of a write and takes nothing more; the cause may be over.
--- a/src/control/disk.hpp
+++ b/src/control/disk.hpp
@@ -26,26 +26,26 @@
 // Where the files are: the machine's own, or a stand-in's.
 struct DiskBackend {
     leveldb::Env* env = nullptr;
-    FolderSync syncFolder;
+    DirectorySync syncDirectory;
 };
-DiskBackend machineDisk();
+DiskBackend systemDisk();
 
 class Disk {
 public:
     // A name that no earlier life of this or another member has had.
-    using DrawIncarnation = std::function<std::string()>;
+    using GenerateIncarnation = std::function<std::string()>;
 
     // Opens the state under the folder, which is made if it is missing. Throws DiskError (refuses) where the
     // disk takes no bytes: what it holds is as it was.
-    Disk(std::string folder, DiskBackend backend, DrawIncarnation draw);
+    Disk(std::string directory, DiskBackend backend, GenerateIncarnation generate);
     ~Disk();
 
     const std::string& incarnation() const { return identity_.incarnation; }
     // Whether a state once stood here and was lost (afterLossRecord).
-    bool afterLoss() const { return identity_.afterLoss; }
+    bool stateWasLost() const { return identity_.stateWasLost; }
 
     // Throws DiskError.
-    DiskRecords all() const;
+    DiskRecords readAll() const;
     // All of them in one write with one sync: on disk when it returns. Throws DiskError (refuses); whether
     // they are on disk is then open, and nothing more is taken before `reopen`.
     void write(const DiskRecords& records);
@@ -56,27 +56,27 @@
 private:
     struct Identity {
         bool ready = false;  // false: being made, nothing was promised under it yet
-        bool afterLoss = false;
+        bool stateWasLost = false;
         std::string incarnation;
     };
-    std::string statePath() const { return folder_ + "/state"; }
-    std::string identityPath() const { return folder_ + "/identity"; }
-    void makeFolder();
+    std::string statePath() const { return directory_ + "/state"; }
+    std::string identityPath() const { return directory_ + "/identity"; }
+    void createDirectory();
     // None where there is no such file. Throws DiskError (lost) where it can't be understood.
     std::optional<Identity> readIdentity();
     void writeIdentity();
-    bool stateFolderHoldsFiles();
-    void create();
+    bool stateDirectoryHasFiles();
+    void createState();
     void removeState();
     void openExisting();
-    void cutTornTails();
-    void cutTornTail(const std::string& path);
-    void open(bool make);
+    void truncateTornTails();
+    void truncateTornTail(const std::string& path);
+    void open(bool createNew);
 
-    const std::string folder_;
+    const std::string directory_;
     LogListEnv env_;
-    const DrawIncarnation draw_;
-    const std::unique_ptr<leveldb::Logger> logger_ = silentLogger();
+    const GenerateIncarnation generateIncarnation_;
+    const std::unique_ptr<leveldb::Logger> logger_ = nullLogger();
     Identity identity_;
     std::unique_ptr<leveldb::DB> db_;
 };
--- a/src/control/disk_error.hpp
+++ b/src/control/disk_error.hpp
@@ -7,7 +7,7 @@
 namespace granitereel::control {
 
 enum class DiskFault {
-    refuses,  // it takes or gives no bytes now, and may later; what was synced stands
+    ioError,  // it takes or gives no bytes now, and may later; what was synced stands
     lost,     // what was synced can't be shown to stand
 };
 
--- a/src/control/disk_health.cpp
+++ b/src/control/disk_health.cpp
@@ -2,7 +2,7 @@
 
 namespace granitereel::control {
 
-const char* textOf(DiskHealth health) {
+const char* toString(DiskHealth health) {
     switch (health) {
         case DiskHealth::ok:
             return "ok";
@@ -14,13 +14,13 @@
     return "unknown";
 }
 
-std::optional<std::string> DiskWatch::seen(DiskHealth health, Nanos now) {
+std::optional<std::string> DiskHealthMonitor::update(DiskHealth health, Nanos now) {
     const DiskHealth before = health_;
     if (health == before) return std::nullopt;
     health_ = health;
     if (before == DiskHealth::ok) unwellSince_ = now;
     if (health != DiskHealth::ok)
-        return std::string("the disk is unwell: ") + textOf(health) + "; no vote until it is well";
+        return std::string("the disk is unwell: ") + toString(health) + "; no vote until it is well";
     return "the disk is well again after " + std::to_string((now - unwellSince_) / millis(1)) + " ms";
 }
 
--- a/src/control/disk_health.hpp
+++ b/src/control/disk_health.hpp
@@ -13,26 +13,26 @@
     slow,     // a write has waited for its sync for `slowDiskAfter`
     refuses,  // a write failed, and none has been synced since
 };
-const char* textOf(DiskHealth health);
+const char* toString(DiskHealth health);
 
 // An answer that waits longer for its sync comes when nobody waits for it any more: a change is given up by
 // its proposer after 900 ms (ControlMember).
-constexpr Nanos slowDiskAfter = millis(900);
+constexpr Nanos slowSyncThreshold = millis(900);
 // A member whose disk is unwell for longer hands its duties on. With `slowDiskAfter` before it, a single slow
 // sync moves no duty.
-constexpr Nanos dutiesLeaveAfter = millis(600);
+constexpr Nanos maxUnwellTimeOfOwner = millis(600);
 
 // What a member makes of the health of its disk.
-class DiskWatch {
+class DiskHealthMonitor {
 public:
     // Returns the log's line where the health became another.
-    std::optional<std::string> seen(DiskHealth health, Nanos now);
+    std::optional<std::string> update(DiskHealth health, Nanos now);
     DiskHealth health() const { return health_; }
     // Whether a vote may be given: not while its reply would have to wait for the disk to get well.
-    bool votes() const { return health_ == DiskHealth::ok; }
+    bool mayVote() const { return health_ == DiskHealth::ok; }
     // Whether the member may own duties.
-    bool ownsDuties(Nanos now) const {
-        return health_ == DiskHealth::ok || now - unwellSince_ < dutiesLeaveAfter;
+    bool mayOwnFailover(Nanos now) const {
+        return health_ == DiskHealth::ok || now - unwellSince_ < maxUnwellTimeOfOwner;
     }
 
 private:
--- a/src/control/disk_writer.cpp
+++ b/src/control/disk_writer.cpp
@@ -4,79 +4,82 @@
 
 namespace granitereel::control {
 
-DiskWriter::DiskWriter(std::unique_ptr<Disk> disk, Report report, std::chrono::milliseconds retry)
-    : disk_(std::move(disk)), report_(std::move(report)), retry_(retry), thread_([this] { run(); }) {}
+DiskWriter::DiskWriter(std::unique_ptr<Disk> disk, Report report, std::chrono::milliseconds retryDelay)
+    : disk_(std::move(disk)),
+      report_(std::move(report)),
+      retryDelay_(retryDelay),
+      thread_([this] { run(); }) {}
 
 DiskWriter::~DiskWriter() {
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         stopping_ = true;
     }
-    changed_.notify_all();
+    condition_.notify_all();
     thread_.join();
 }
 
 void DiskWriter::submit(const DiskRecords& records, std::uint64_t ticket) {
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        for (const auto& [name, body] : records) waiting_[name] = body;
-        waitingTicket_ = ticket;
+        for (const auto& [name, body] : records) pending_[name] = body;
+        pendingTicket_ = ticket;
     }
-    changed_.notify_one();
+    condition_.notify_one();
 }
 
-bool DiskWriter::stop(std::chrono::milliseconds within) {
+bool DiskWriter::stop(std::chrono::milliseconds timeout) {
     std::unique_lock<std::mutex> lock(mutex_);
     stopping_ = true;
-    changed_.notify_all();
-    return changed_.wait_for(lock, within, [this] { return ended_; });
+    condition_.notify_all();
+    return condition_.wait_for(lock, timeout, [this] { return ended_; });
 }
 
 void DiskWriter::run() {
-    bool lost = false;
-    while (!lost && take()) lost = !attempt() && !retry();
+    bool stateLost = false;
+    while (!stateLost && takeBatch()) stateLost = !writeBatch() && !reopenAndRetry();
     const std::lock_guard<std::mutex> lock(mutex_);
     ended_ = true;
-    changed_.notify_all();
+    condition_.notify_all();
 }
 
-bool DiskWriter::take() {
+bool DiskWriter::takeBatch() {
     std::unique_lock<std::mutex> lock(mutex_);
-    changed_.wait(lock, [this] { return stopping_ || !waiting_.empty(); });
+    condition_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
     if (stopping_) return false;
-    batch_ = std::exchange(waiting_, {});
-    batchTicket_ = waitingTicket_;
+    batch_ = std::exchange(pending_, {});
+    batchTicket_ = pendingTicket_;
     return true;
 }
 
-bool DiskWriter::attempt() {
+bool DiskWriter::writeBatch() {
     try {
         disk_->write(batch_);
     } catch (const DiskError& error) {
-        report_({DiskReport::Event::refuses, batchTicket_, error.what()});
+        report_({DiskReport::Event::writeFailed, batchTicket_, error.what()});
         return false;
     }
     report_({DiskReport::Event::durable, batchTicket_, ""});
     return true;
 }
 
-bool DiskWriter::retry() {
-    while (pause()) {
+bool DiskWriter::reopenAndRetry() {
+    while (waitBeforeRetry()) {
         try {
             disk_->reopen();
         } catch (const DiskError& error) {
-            if (error.fault() == DiskFault::refuses) continue;
+            if (error.fault() == DiskFault::ioError) continue;
             report_({DiskReport::Event::lost, batchTicket_, error.what()});
             return false;
         }
-        if (attempt()) return true;
+        if (writeBatch()) return true;
     }
     return false;
 }
 
-bool DiskWriter::pause() {
+bool DiskWriter::waitBeforeRetry() {
     std::unique_lock<std::mutex> lock(mutex_);
-    return !changed_.wait_for(lock, retry_, [this] { return stopping_; });
+    return !condition_.wait_for(lock, retryDelay_, [this] { return stopping_; });
 }
 
 }  // namespace granitereel::control
--- a/src/control/disk_writer.hpp
+++ b/src/control/disk_writer.hpp
@@ -16,9 +16,9 @@
 
 struct DiskReport {
     enum class Event {
-        durable,  // every record up to `ticket` is synced
-        refuses,  // a write failed; it is tried again until it is synced
-        lost,     // what was synced before can't be shown to stand: nothing more is written
+        durable,      // every record up to `ticket` is synced
+        writeFailed,  // a write failed; it is tried again until it is synced
+        lost,         // what was synced before can't be shown to stand: nothing more is written
     };
     Event event = Event::durable;
     std::uint64_t ticket = 0;
@@ -30,32 +30,33 @@
     // Called on the writer's thread.
     using Report = std::function<void(DiskReport)>;
     // How long after a refusal the state is opened again.
-    static constexpr std::chrono::milliseconds retryEvery{250};
+    static constexpr std::chrono::milliseconds defaultRetryDelay{250};
 
-    DiskWriter(std::unique_ptr<Disk> disk, Report report, std::chrono::milliseconds retry = retryEvery);
+    DiskWriter(std::unique_ptr<Disk> disk, Report report,
+               std::chrono::milliseconds retryDelay = defaultRetryDelay);
     ~DiskWriter();
 
     // Records up to and with the one of this ticket. Does not wait.
     void submit(const DiskRecords& records, std::uint64_t ticket);
     // What waits is not written any more. Returns whether the thread ended in time; where it didn't, since
     // the disk hangs, the process can only be ended without its destructors.
-    bool stop(std::chrono::milliseconds within);
+    bool stop(std::chrono::milliseconds timeout);
 
 private:
     void run();
-    bool take();     // false: told to stop
-    bool attempt();  // false: refused, or told to stop
+    bool takeBatch();   // false: told to stop
+    bool writeBatch();  // false: refused, or told to stop
     // Opens the state again until it takes the batch; false: lost, or told to stop.
-    bool retry();
-    bool pause();  // false: told to stop
+    bool reopenAndRetry();
+    bool waitBeforeRetry();  // false: told to stop
 
     const std::unique_ptr<Disk> disk_;
     const Report report_;
-    const std::chrono::milliseconds retry_;
+    const std::chrono::milliseconds retryDelay_;
     std::mutex mutex_;
-    std::condition_variable changed_;
-    DiskRecords waiting_;
-    std::uint64_t waitingTicket_ = 0;
+    std::condition_variable condition_;
+    DiskRecords pending_;
+    std::uint64_t pendingTicket_ = 0;
     bool stopping_ = false, ended_ = false;
     DiskRecords batch_;  // the thread's own: being written, kept until it is synced
     std::uint64_t batchTicket_ = 0;
--- a/src/control/durability_gate.cpp
+++ b/src/control/durability_gate.cpp
@@ -9,21 +9,21 @@
 }
 }  // namespace
 
-std::uint64_t DurabilityGate::written(Nanos now) {
-    waiting_.emplace(++last_, now);
-    return last_;
+std::uint64_t DurabilityGate::recordWrite(Nanos now) {
+    unsyncedWrites_.emplace(++lastTicket_, now);
+    return lastTicket_;
 }
 
-bool DurabilityGate::holds(Output& output) {
-    if (waiting_.empty() || !dependsOnWrites(output)) return false;
-    held_.push_back({last_, std::move(output)});
+bool DurabilityGate::hold(Output& output) {
+    if (unsyncedWrites_.empty() || !dependsOnWrites(output)) return false;
+    held_.push_back({lastTicket_, std::move(output)});
     return true;
 }
 
-Outputs DurabilityGate::durable(std::uint64_t ticket) {
-    waiting_.erase(waiting_.begin(), waiting_.upper_bound(ticket));
+Outputs DurabilityGate::release(std::uint64_t ticket) {
+    unsyncedWrites_.erase(unsyncedWrites_.begin(), unsyncedWrites_.upper_bound(ticket));
     Outputs released;
-    while (!held_.empty() && held_.front().after <= ticket) {
+    while (!held_.empty() && held_.front().afterTicket <= ticket) {
         released.push_back(std::move(held_.front().output));
         held_.pop_front();
     }
--- a/src/control/durability_gate.hpp
+++ b/src/control/durability_gate.hpp
@@ -14,23 +14,25 @@
 class DurabilityGate {
 public:
     // A write is handed to the disk; returns its ticket. Tickets rise by one.
-    std::uint64_t written(Nanos now);
+    std::uint64_t recordWrite(Nanos now);
     // Takes an output that depends on the writes before it where one of them is not synced; returns whether
     // it was taken.
-    bool holds(Output& output);
+    bool hold(Output& output);
     // Every write up to the ticket is synced: what may leave now, in its order.
-    Outputs durable(std::uint64_t ticket);
+    Outputs release(std::uint64_t ticket);
     // When the oldest write that isn't synced was handed over; `now` where there is none.
-    Nanos waitingSince(Nanos now) const { return waiting_.empty() ? now : waiting_.begin()->second; }
+    Nanos oldestPendingWriteAt(Nanos now) const {
+        return unsyncedWrites_.empty() ? now : unsyncedWrites_.begin()->second;
+    }
 
 private:
-    struct Held {
-        std::uint64_t after = 0;
+    struct HeldOutput {
+        std::uint64_t afterTicket = 0;
         Output output;
     };
-    std::uint64_t last_ = 0;
-    std::map<std::uint64_t, Nanos> waiting_;  // by ticket
-    std::deque<Held> held_;
+    std::uint64_t lastTicket_ = 0;
+    std::map<std::uint64_t, Nanos> unsyncedWrites_;  // by ticket
+    std::deque<HeldOutput> held_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/durable_env.cpp
+++ b/src/control/durable_env.cpp
@@ -9,76 +9,76 @@
 
 namespace granitereel::control {
 
-leveldb::Status syncFolder(const std::string& folder) {
-    const int descriptor = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (descriptor < 0) return leveldb::Status::IOError(folder, std::strerror(errno));
+leveldb::Status syncDirectory(const std::string& directory) {
+    const int descriptor = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (descriptor < 0) return leveldb::Status::IOError(directory, std::strerror(errno));
     const int result = ::fsync(descriptor);
     const int cause = errno;
     ::close(descriptor);
-    if (result != 0) return leveldb::Status::IOError(folder, std::strerror(cause));
+    if (result != 0) return leveldb::Status::IOError(directory, std::strerror(cause));
     return leveldb::Status::OK();
 }
 
-std::string parentOf(const std::string& path) {
+std::string parentDirectory(const std::string& path) {
     const std::size_t end = path.find_last_not_of('/');
     const std::size_t slash = end == std::string::npos ? end : path.rfind('/', end);
     if (slash == std::string::npos) return ".";
     return slash == 0 ? "/" : path.substr(0, slash);
 }
 
-DurableEnv::DurableEnv(leveldb::Env& target, FolderSync sync)
-    : leveldb::EnvWrapper(&target), sync_(std::move(sync)) {}
+DurableEnv::DurableEnv(leveldb::Env& target, DirectorySync syncFunction)
+    : leveldb::EnvWrapper(&target), syncDirectory_(std::move(syncFunction)) {}
 
-leveldb::Status DurableEnv::settle() {
+leveldb::Status DurableEnv::syncPendingRename() {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (unsettled_.empty()) return leveldb::Status::OK();
-    leveldb::Status status = sync_(unsettled_);
-    if (status.ok()) unsettled_.clear();
+    if (unsyncedDirectory_.empty()) return leveldb::Status::OK();
+    leveldb::Status status = syncDirectory_(unsyncedDirectory_);
+    if (status.ok()) unsyncedDirectory_.clear();
     return status;
 }
 
-leveldb::Status DurableEnv::synced(const leveldb::Status& changed, const std::string& path) {
-    return changed.ok() ? sync_(parentOf(path)) : changed;
+leveldb::Status DurableEnv::syncParent(const leveldb::Status& operationStatus, const std::string& path) {
+    return operationStatus.ok() ? syncDirectory_(parentDirectory(path)) : operationStatus;
 }
 
 leveldb::Status DurableEnv::NewWritableFile(const std::string& path, leveldb::WritableFile** made) {
     *made = nullptr;
-    leveldb::Status status = settle();
-    if (status.ok()) status = synced(target()->NewWritableFile(path, made), path);
+    leveldb::Status status = syncPendingRename();
+    if (status.ok()) status = syncParent(target()->NewWritableFile(path, made), path);
     if (!status.ok()) delete std::exchange(*made, nullptr);
     return status;
 }
 
 leveldb::Status DurableEnv::NewAppendableFile(const std::string& path, leveldb::WritableFile** made) {
     *made = nullptr;
-    leveldb::Status status = settle();
-    if (status.ok()) status = synced(target()->NewAppendableFile(path, made), path);
+    leveldb::Status status = syncPendingRename();
+    if (status.ok()) status = syncParent(target()->NewAppendableFile(path, made), path);
     if (!status.ok()) delete std::exchange(*made, nullptr);
     return status;
 }
 
 leveldb::Status DurableEnv::RenameFile(const std::string& from, const std::string& to) {
-    leveldb::Status status = settle();
+    leveldb::Status status = syncPendingRename();
     if (status.ok()) status = target()->RenameFile(from, to);
     if (!status.ok()) return status;
     {
         const std::lock_guard<std::mutex> lock(mutex_);
-        unsettled_ = parentOf(to);
+        unsyncedDirectory_ = parentDirectory(to);
     }
-    return settle();
+    return syncPendingRename();
 }
 
 leveldb::Status DurableEnv::RemoveFile(const std::string& path) {
-    const leveldb::Status status = settle();
-    return status.ok() ? synced(target()->RemoveFile(path), path) : status;
+    const leveldb::Status status = syncPendingRename();
+    return status.ok() ? syncParent(target()->RemoveFile(path), path) : status;
 }
 
 leveldb::Status DurableEnv::CreateDir(const std::string& path) {
-    return synced(target()->CreateDir(path), path);
+    return syncParent(target()->CreateDir(path), path);
 }
 
 leveldb::Status DurableEnv::RemoveDir(const std::string& path) {
-    return synced(target()->RemoveDir(path), path);
+    return syncParent(target()->RemoveDir(path), path);
 }
 
 leveldb::Status replaceFile(DurableEnv& env, const std::string& path, const std::string& content) {
@@ -96,14 +96,14 @@
 }
 
 namespace {
-class SilentLogger : public leveldb::Logger {
+class NullLogger : public leveldb::Logger {
 public:
     void Logv(const char*, std::va_list) override {}
 };
 }  // namespace
 
-std::unique_ptr<leveldb::Logger> silentLogger() {
-    return std::make_unique<SilentLogger>();
+std::unique_ptr<leveldb::Logger> nullLogger() {
+    return std::make_unique<NullLogger>();
 }
 
 }  // namespace granitereel::control
--- a/src/control/durable_env.hpp
+++ b/src/control/durable_env.hpp
@@ -13,13 +13,13 @@
 namespace granitereel::control {
 
 // Makes the names in a folder durable.
-using FolderSync = std::function<leveldb::Status(const std::string& folder)>;
+using DirectorySync = std::function<leveldb::Status(const std::string& directory)>;
 
 // fsync(2) of the folder.
-leveldb::Status syncFolder(const std::string& folder);
+leveldb::Status syncDirectory(const std::string& directory);
 
 // The folder that a file or folder is named in.
-std::string parentOf(const std::string& path);
+std::string parentDirectory(const std::string& path);
 
 // A name that was made, renamed or removed is durable when the call has succeeded. After a rename whose sync
 // failed there is no way back, and LevelDB removes the file that CURRENT may already lead to: so nothing is
@@ -27,7 +27,7 @@
 class DurableEnv : public leveldb::EnvWrapper {
 public:
     // `target` outlives this; it is given back by LevelDB's EnvWrapper::target().
-    DurableEnv(leveldb::Env& target, FolderSync sync);
+    DurableEnv(leveldb::Env& target, DirectorySync syncFunction);
 
     leveldb::Status NewWritableFile(const std::string& path, leveldb::WritableFile** made) override;
     leveldb::Status NewAppendableFile(const std::string& path, leveldb::WritableFile** made) override;
@@ -38,12 +38,12 @@
 
 private:
     // Syncs the folder of a rename, now or when it is tried again.
-    leveldb::Status settle();
+    leveldb::Status syncPendingRename();
     // A changed name is durable, or the call failed.
-    leveldb::Status synced(const leveldb::Status& changed, const std::string& path);
-    const FolderSync sync_;
-    std::mutex mutex_;       // LevelDB compacts on a thread of its own
-    std::string unsettled_;  // the folder of such a rename; empty: none
+    leveldb::Status syncParent(const leveldb::Status& operationStatus, const std::string& path);
+    const DirectorySync syncDirectory_;
+    std::mutex mutex_;               // LevelDB compacts on a thread of its own
+    std::string unsyncedDirectory_;  // the folder of such a rename; empty: none
 };
 
 // Writes a small file whole: afterwards the path holds either what it held before or the new content, also
@@ -51,6 +51,6 @@
 leveldb::Status replaceFile(DurableEnv& env, const std::string& path, const std::string& content);
 
 // A log of LevelDB's own doings that keeps nothing: no file, no bytes.
-std::unique_ptr<leveldb::Logger> silentLogger();
+std::unique_ptr<leveldb::Logger> nullLogger();
 
 }  // namespace granitereel::control
--- a/src/control/departure.cpp
+++ b/src/control/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-#include "control/departure.hpp"
+#include "control/graceful_shutdown.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -7,7 +7,7 @@
 
 namespace {
 // Asked again, as a link may have been made anew.
-constexpr Nanos askAgain = millis(300);
+constexpr Nanos flushRetryInterval = millis(300);
 }  // namespace
 
 Json FlushRequest::toJson() const {
@@ -23,32 +23,32 @@
     return {message.at("number").get<std::uint64_t>()};
 }
 
-void Departure::begin(Nanos within, Nanos now) {
-    if (std::exchange(begun_, true)) return;
-    until_ = now + within;
+void GracefulShutdown::begin(Nanos timeout, Nanos now) {
+    if (std::exchange(started_, true)) return;
+    deadline_ = now + timeout;
 }
 
-void Departure::heard(const std::string& voter, const FlushReply& reply) {
-    if (flushing_ && reply.number >= firstNumber_) flushed_.insert(voter);
+void GracefulShutdown::handleReply(const std::string& voter, const FlushReply& reply) {
+    if (flushing_ && reply.number >= firstFlushNumber_) flushed_.insert(voter);
 }
 
-void Departure::proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send,
-                        Nanos now) {
-    if (!begun_ || over_) return;
-    over_ = now >= until_;
+void GracefulShutdown::proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send,
+                               Nanos now) {
+    if (!started_ || finished_) return;
+    finished_ = now >= deadline_;
     if (!std::exchange(flushing_, handedOver) && flushing_) {
         flushed_.clear();
-        firstNumber_ = number_ + 1;
-        askedAt_ = now - askAgain;
+        firstFlushNumber_ = lastRequestNumber_ + 1;
+        lastRequestAt_ = now - flushRetryInterval;
     }
     if (!flushing_) return;
     std::set<std::string> unflushed;
     std::set_difference(votersInReach.begin(), votersInReach.end(), flushed_.begin(), flushed_.end(),
                         std::inserter(unflushed, unflushed.end()));
-    if (unflushed.empty()) over_ = true;
-    if (over_ || now - askedAt_ < askAgain) return;
-    askedAt_ = now;
-    const FlushRequest request{++number_};
+    if (unflushed.empty()) finished_ = true;
+    if (finished_ || now - lastRequestAt_ < flushRetryInterval) return;
+    lastRequestAt_ = now;
+    const FlushRequest request{++lastRequestNumber_};
     for (const std::string& voter : unflushed) send(voter, request.toJson());
 }
 
--- a/src/control/departure.hpp
+++ b/src/control/graceful_shutdown.hpp
@@ -24,25 +24,26 @@
     static FlushReply fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
-class Departure {
+class GracefulShutdown {
 public:
     using Send = std::function<void(const std::string& voter, Json message)>;
 
     // `within`: it ends by then, whatever is left.
-    void begin(Nanos within, Nanos now);
-    bool begun() const { return begun_; }
-    bool over() const { return over_; }
-    void heard(const std::string& voter, const FlushReply& reply);
+    void begin(Nanos timeout, Nanos now);
+    bool started() const { return started_; }
+    bool finished() const { return finished_; }
+    void handleReply(const std::string& voter, const FlushReply& reply);
     // `handedOver`: no call is in hand, and the vote has gone or stays. What was sent until then is flushed
     // to the voters in reach; where there is more to hand over after all, it is flushed again.
     void proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send, Nanos now);
 
 private:
-    bool begun_ = false, over_ = false;
+    bool started_ = false, finished_ = false;
     bool flushing_ = false;
     std::set<std::string> flushed_;
-    std::uint64_t number_ = 0, firstNumber_ = 0;  // of the questions; firstNumber_: of this flush
-    Nanos until_ = 0, askedAt_ = 0;
+    std::uint64_t lastRequestNumber_ = 0,
+                  firstFlushNumber_ = 0;  // of the questions; firstNumber_: of this flush
+    Nanos deadline_ = 0, lastRequestAt_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/lease.cpp
+++ b/src/control/lease.cpp
@@ -32,27 +32,27 @@
             message.value("edition", std::uint64_t(0))};
 }
 
-LeaseQuestion LeaseRounds::begin(const Core& core, const std::string& ownVote, Nanos now) {
+LeaseQuestion LeaseRounds::begin(const VoterSet& voterSet, const std::string& ownVote, Nanos now) {
     Round& round = rounds_[++last_];
-    round.epoch = core.epoch;
+    round.epoch = voterSet.epoch;
     round.sentAt = now;
     if (rounds_.size() > roundsKept) rounds_.erase(rounds_.begin());
-    if (!ownVote.empty()) count(round, ownVote, core);
-    return {last_, core.epoch};
+    if (!ownVote.empty()) count(round, ownVote, voterSet);
+    return {last_, voterSet.epoch};
 }
 
-void LeaseRounds::answered(const std::string& voter, const LeaseAnswer& answer, const Core& core) {
+void LeaseRounds::answered(const std::string& voter, const LeaseAnswer& answer, const VoterSet& voterSet) {
     const auto found = rounds_.find(answer.round);
     if (found == rounds_.end()) return;
     // Answers of two epochs are no majority of either.
-    if (answer.epoch != core.epoch || found->second.epoch != core.epoch) return;
-    count(found->second, voter, core);
+    if (answer.epoch != voterSet.epoch || found->second.epoch != voterSet.epoch) return;
+    count(found->second, voter, voterSet);
 }
 
-void LeaseRounds::count(Round& round, const std::string& voter, const Core& core) {
-    if (!core.voters.count(voter)) return;
+void LeaseRounds::count(Round& round, const std::string& voter, const VoterSet& voterSet) {
+    if (!voterSet.voters.count(voter)) return;
     round.voters.insert(voter);
-    if (round.voters.size() >= core.majority()) until_ = std::max(until_, round.sentAt + leaseTime);
+    if (round.voters.size() >= voterSet.majority()) until_ = std::max(until_, round.sentAt + leaseTime);
 }
 
 }  // namespace granitereel::control
--- a/src/control/lease.hpp
+++ b/src/control/lease.hpp
@@ -38,9 +38,9 @@
     static constexpr Nanos leaseTime = millis(700);
 
     // Begins a round in this epoch. `ownVote`: the voter that this member is, or empty.
-    LeaseQuestion begin(const Core& core, const std::string& ownVote, Nanos now);
+    LeaseQuestion begin(const VoterSet& voterSet, const std::string& ownVote, Nanos now);
     // Counts only where round, answer and this member's present epoch are one.
-    void answered(const std::string& voter, const LeaseAnswer& answer, const Core& core);
+    void answered(const std::string& voter, const LeaseAnswer& answer, const VoterSet& voterSet);
     Nanos until() const { return until_; }
 
 private:
@@ -49,7 +49,7 @@
         Nanos sentAt = 0;
         std::set<std::string> voters;
     };
-    void count(Round& round, const std::string& voter, const Core& core);
+    void count(Round& round, const std::string& voter, const VoterSet& voterSet);
 
     std::map<std::uint64_t, Round> rounds_;
     std::uint64_t last_ = 0;
--- a/src/control/log_list_env.cpp
+++ b/src/control/log_list_env.cpp
@@ -5,24 +5,27 @@
 
 namespace granitereel::control {
 
-LogListEnv::LogListEnv(leveldb::Env& target, FolderSync sync, std::string folder, std::string list)
-    : DurableEnv(target, std::move(sync)), folder_(std::move(folder)), list_(std::move(list)) {}
+LogListEnv::LogListEnv(leveldb::Env& target, DirectorySync syncFunction, std::string stateDirectory,
+                       std::string listPath)
+    : DurableEnv(target, std::move(syncFunction)),
+      stateDirectory_(std::move(stateDirectory)),
+      listPath_(std::move(listPath)) {}
 
 std::optional<std::string> LogListEnv::logName(const std::string& path) const {
-    if (!path.ends_with(".log") || parentOf(path) != folder_) return std::nullopt;
-    return path.substr(folder_.size() + 1);
+    if (!path.ends_with(".log") || parentDirectory(path) != stateDirectory_) return std::nullopt;
+    return path.substr(stateDirectory_.size() + 1);
 }
 
 leveldb::Status LogListEnv::NewWritableFile(const std::string& path, leveldb::WritableFile** made) {
     leveldb::Status status = DurableEnv::NewWritableFile(path, made);
     const auto log = logName(path);
     if (!status.ok() || !log) return status;
-    status = listWith(*log);
+    status = addToList(*log);
     if (!status.ok()) delete std::exchange(*made, nullptr);
     return status;
 }
 
-leveldb::Status LogListEnv::listWith(const std::string& name) {
+leveldb::Status LogListEnv::addToList(const std::string& name) {
     const std::lock_guard<std::mutex> lock(listMutex_);
     std::set<std::string> next = listed_;
     for (const std::string& old : obsolete_) next.erase(old);
@@ -31,7 +34,7 @@
     for (const std::string& each : next) text += each + "\n";
     // Either list may stand until the call has succeeded.
     listed_.insert(name);
-    leveldb::Status status = replaceFile(*this, list_, text);
+    leveldb::Status status = replaceFile(*this, listPath_, text);
     if (!status.ok()) return status;
     listed_ = std::move(next);
     obsolete_.clear();
@@ -49,15 +52,15 @@
     return DurableEnv::RemoveFile(path);
 }
 
-leveldb::Status LogListEnv::require() {
+leveldb::Status LogListEnv::verifyListedLogs() {
     std::string text;
-    if (!FileExists(list_)) return leveldb::Status::NotFound(list_);
-    leveldb::Status status = leveldb::ReadFileToString(this, list_, &text);
+    if (!FileExists(listPath_)) return leveldb::Status::NotFound(listPath_);
+    leveldb::Status status = leveldb::ReadFileToString(this, listPath_, &text);
     if (!status.ok()) return status;
     std::istringstream lines(text);
     std::set<std::string> found;
     for (std::string name; std::getline(lines, name);) {
-        if (!FileExists(folder_ + "/" + name)) return leveldb::Status::Corruption("no log", name);
+        if (!FileExists(stateDirectory_ + "/" + name)) return leveldb::Status::Corruption("no log", name);
         found.insert(name);
     }
     if (found.empty()) return leveldb::Status::Corruption("no log is listed");
@@ -67,7 +70,7 @@
     return status;
 }
 
-void LogListEnv::forget() {
+void LogListEnv::clearList() {
     const std::lock_guard<std::mutex> lock(listMutex_);
     listed_.clear();
     obsolete_.clear();
--- a/src/control/log_list_env.hpp
+++ b/src/control/log_list_env.hpp
@@ -17,22 +17,23 @@
 class LogListEnv : public DurableEnv {
 public:
     // `folder`: of the state; `list`: path of the list. `target` outlives this.
-    LogListEnv(leveldb::Env& target, FolderSync sync, std::string folder, std::string list);
+    LogListEnv(leveldb::Env& target, DirectorySync syncFunction, std::string stateDirectory,
+               std::string listPath);
 
     leveldb::Status NewWritableFile(const std::string& path, leveldb::WritableFile** made) override;
     leveldb::Status RemoveFile(const std::string& path) override;
 
     // Reads the list. Not found where there is none; corruption where a log that it names is gone.
-    leveldb::Status require();
+    leveldb::Status verifyListedLogs();
     // The state and its logs are about to be removed.
-    void forget();
+    void clearList();
 
 private:
-    leveldb::Status listWith(const std::string& name);
+    leveldb::Status addToList(const std::string& name);
     // The name of a log in the folder; none for other files.
     std::optional<std::string> logName(const std::string& path) const;
 
-    const std::string folder_, list_;
+    const std::string stateDirectory_, listPath_;
     std::mutex listMutex_;
     std::set<std::string> listed_, obsolete_;
 };
--- a/src/control/log_tail.cpp
+++ b/src/control/log_tail.cpp
@@ -43,7 +43,7 @@
 }
 
 struct Record {
-    bool sound = false;
+    bool valid = false;
     unsigned type = 0;
     std::size_t end = 0;  // where the next one would begin, as its length has it
 };
@@ -63,42 +63,42 @@
     if (record.type < full || record.type > last) return record;
     if (at % blockBytes + headerBytes + length > blockBytes || record.end > log.size()) return record;
     const std::string_view typeAndData = log.substr(at + headerBytes - 1, length + 1);
-    record.sound = masked(crc32c(typeAndData)) == littleEndian(log.substr(at, checksumBytes));
+    record.valid = masked(crc32c(typeAndData)) == littleEndian(log.substr(at, checksumBytes));
     return record;
 }
 
 // Whether a further write's first record stands somewhere behind a bad one.
-bool anotherWriteBehind(std::string_view log, std::size_t bad) {
-    std::size_t block = bad - bad % blockBytes;
+bool hasLaterWrite(std::string_view log, std::size_t badRecordAt) {
+    std::size_t block = badRecordAt - badRecordAt % blockBytes;
     // Within the bad record's block only its length tells where the next one is.
-    std::size_t at = recordAt(log, bad).end;
-    if (at <= bad || at > block + blockBytes) at = block + blockBytes;
+    std::size_t at = recordAt(log, badRecordAt).end;
+    if (at <= badRecordAt || at > block + blockBytes) at = block + blockBytes;
     while (at < log.size()) {
         at = recordStart(at);
         const Record record = recordAt(log, at);
-        if (record.sound && (record.type == full || record.type == first)) return true;
-        at = record.sound ? record.end : at - at % blockBytes + blockBytes;
+        if (record.valid && (record.type == full || record.type == first)) return true;
+        at = record.valid ? record.end : at - at % blockBytes + blockBytes;
     }
     return false;
 }
 }  // namespace
 
 LogTail inspectLog(std::string_view log) {
-    LogTail found;
-    bool within = false;  // between a write's first record and its last
+    LogTail result;
+    bool insideWrite = false;  // between a write's first record and its last
     for (std::size_t at = recordStart(0); at < log.size(); at = recordStart(at)) {
         const Record record = recordAt(log, at);
-        const bool begins = record.type == full || record.type == first;
-        if (!record.sound || begins == within) {
-            found.tail = anotherWriteBehind(log, at) ? Tail::damaged : Tail::torn;
-            return found;
+        const bool startsWrite = record.type == full || record.type == first;
+        if (!record.valid || startsWrite == insideWrite) {
+            result.tail = hasLaterWrite(log, at) ? TailState::corrupt : TailState::torn;
+            return result;
         }
         at = record.end;
-        within = record.type == first || record.type == middle;
-        if (!within) found.sound = at;
+        insideWrite = record.type == first || record.type == middle;
+        if (!insideWrite) result.validBytes = at;
     }
-    found.tail = within || found.sound < log.size() ? Tail::torn : Tail::whole;
-    return found;
+    result.tail = insideWrite || result.validBytes < log.size() ? TailState::torn : TailState::intact;
+    return result;
 }
 
 }  // namespace granitereel::control
--- a/src/control/log_tail.hpp
+++ b/src/control/log_tail.hpp
@@ -12,15 +12,15 @@
 
 namespace granitereel::control {
 
-enum class Tail {
-    whole,    // every record is sound
+enum class TailState {
+    intact,   // every record is sound
     torn,     // the last write is incomplete: cut off behind `sound`, the log is whole
-    damaged,  // a bad record stands before a sound one: something that was synced is gone
+    corrupt,  // a bad record stands before a sound one: something that was synced is gone
 };
 
 struct LogTail {
-    Tail tail = Tail::whole;
-    std::size_t sound = 0;  // bytes up to the end of the last sound record before the first bad one
+    TailState tail = TailState::intact;
+    std::size_t validBytes = 0;  // bytes up to the end of the last sound record before the first bad one
 };
 
 LogTail inspectLog(std::string_view log);
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -16,8 +16,8 @@
 #include "board/lease.hpp"
 #include "configuration/configuration.hpp"
 #include "control/call_router.hpp"
-#include "control/departure.hpp"
 #include "control/disk_health.hpp"
+#include "control/graceful_shutdown.hpp"
 #include "control/lease.hpp"
 #include "control/membership.hpp"
 #include "control/messages.hpp"
@@ -34,7 +34,7 @@
 namespace granitereel::control {
 
 class ControlMember : public Succession::Means,
-                      private Membership::Means,
+                      private Membership::Host,
                       private StoreRegistry::Means,
                       private OperatorCalls::Means,
                       private CallRouter::Means {
@@ -47,25 +47,25 @@
     // Links to others: `dialled` ones lead to a member at that control address, others come in.
     void linkUp(int link, const std::string& dialled, Nanos now);
     void linkDown(int link, Nanos now);
-    void heard(int link, const Json& message, Nanos now);
+    void handleMessage(int link, const Json& message, Nanos now);
     // A call over HTTP: the path by segments.
-    void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-              const std::string& body, Nanos now);
-    void storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanos now);
-    void platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanos now);
+    void handleCall(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
+                    const std::string& body, Nanos now);
+    void handleStoreReply(std::uint64_t ask, std::optional<StoreRow> row, Nanos now);
+    void handlePlatformReply(std::uint64_t ask, PromotionAnswer answer, Nanos now);
     // A reply of this member's own vote (ToSelf): what it says is on disk.
-    void voteStored(const Json& reply, Nanos now);
+    void handleDurableVote(const Json& reply, Nanos now);
     // How the disk does; said before each tick and when it changes.
-    void diskSeen(DiskHealth health, Nanos now);
+    void updateDiskHealth(DiskHealth health, Nanos now);
     void tick(Nanos now);
 
     // Told to end: hands over, and may end once `mayEnd` says so.
-    void leave(Nanos now);
-    bool mayEnd() const { return departure_.over(); }
+    void shutDown(Nanos now);
+    bool shutdownComplete() const { return shutdown_.finished(); }
 
     Outputs takeOutputs() { return std::exchange(outputs_, {}); }
     // Members that a link is to be held to.
-    std::set<std::string> toDial() const;
+    std::set<std::string> membersToDial() const;
     Json state(Nanos now) const;
     // How often one of its invariants was found broken.
     std::uint64_t violations() const { return newsBeforeLease_.violations(); }
@@ -73,16 +73,16 @@
 private:
     // A change that has no majority by then is answered as failed, within the time that an operator's call
     // waits.
-    static constexpr Nanos changeWithin = millis(900);
+    static constexpr Nanos changeTimeout = millis(900);
     // What an earlier life of a member with an empty disk may have said is no longer under way after this.
-    static constexpr Nanos forgottenAfter = changeWithin + millis(300);
+    static constexpr Nanos earlierRequestLifetime = changeTimeout + millis(300);
 
     struct Peer {
         std::string dialled, member, station, kind;  // kind: "member", "front"; empty: not said yet
     };
 
     Outputs& outputs() override { return outputs_; }
-    std::uint64_t nextAsk(Succession& asker) override;
+    std::uint64_t nextAsk(Succession& requester) override;
     void change(const std::string& service, std::uint64_t ifSeq, Lead to,
                 std::function<void(std::optional<Lead>)> done) override;
     void confirm(const std::string& service, const Lead& expected,
@@ -93,63 +93,63 @@
     void putRecord(const std::string& name, board::Record record) override;
     bool unconfirmed(const std::string& name) const override { return gossip_.unconfirmed(name); }
     void sendTo(const std::string& voter, Json message) override;
-    const Core& core() const override { return core_; }
-    void answerStore(std::uint64_t call, Kind kind) override {
+    const VoterSet& voterSet() const override { return voterSet_; }
+    void answerStore(std::uint64_t call, CallOutcome kind) override {
         calls_.answerOrSendOn(call, kind, "{}", now_);
     }
 
-    void beginChange(Change change, Nanos now, Nanos until) override;
-    void configurationStands(const Json& value) override { learn("config", value); }
-    void answerOperator(std::uint64_t call, Kind kind, std::string body) override {
+    void beginChange(RegisterChange change, Nanos now, Nanos until) override;
+    void configurationStands(const Json& value) override { publishChosen("config", value); }
+    void answerOperator(std::uint64_t call, CallOutcome kind, std::string body) override {
         calls_.answerOrSendOn(call, kind, std::move(body), now_);
     }
     void log(std::string line) override { outputs_.push_back(ToLog{std::move(line)}); }
 
     void send(int link, Json message) { outputs_.push_back(ToLink{link, std::move(message)}); }
-    bool leased(Nanos now) const override { return core_.epoch && now < lease_.until(); }
-    bool leaving() const override { return departure_.begun(); }
-    bool diskRefuses() const override { return diskWatch_.health() == DiskHealth::refuses; }
+    bool leased(Nanos now) const override { return voterSet_.epoch && now < lease_.until(); }
+    bool leaving() const override { return shutdown_.started(); }
+    bool diskRefuses() const override { return diskMonitor_.health() == DiskHealth::refuses; }
     std::string stateText(Nanos now) const override { return state(now).dump(); }
     void toCaller(ToCaller answer) override { outputs_.push_back(std::move(answer)); }
 
-    void take(int link, const Json& message, Nanos now);
-    void news(const std::string& name, const board::Record& record);
+    void dispatch(int link, const Json& message, Nanos now);
+    void handleRecord(const std::string& name, const board::Record& record);
     // The message with what is left of this member's lease, in microseconds: a hint of where to send callers.
     Json withLeaseLeft(Json message) const;
-    void learn(const std::string& name, const Json& value);
-    bool said(const std::string& name, const Json& value) const;
-    void forgetAnnounced(const std::string& name);
-    std::size_t rank() const;
-    void vote(int link, const Json& message);
-    void accepted(const std::string& name);
+    void publishChosen(const std::string& name, const Json& value);
+    bool isPublished(const std::string& name, const Json& value) const;
+    void clearIfPublished(const std::string& name);
+    std::size_t turnOrder() const;
+    void handleVoteRequest(int link, const Json& message);
+    void trackAccepted(const std::string& name);
     // Whether this voter's disk is too unwell for it to own duties, by what it tells of itself.
-    bool disqualified(const std::string& voter) const;
-    void flushProposer(Nanos now);
-    void greeted(int link, Peer& peer, const Hello& hello, Nanos now);
-    void roundAsked(int link, const Peer& peer, const Json& message, Nanos now);
-    void roundAnswered(int link, const Peer& peer, const Json& message, Nanos now);
-    void reportBroken(board::Invariant& invariant, const std::string& detail);
-    void stateAsked(int link, const StateRequest& request);
-    void stateTold(const std::string& voter, const StateReply& reply);
-    void recover(Nanos now);
-    void settleCore(Nanos now);
-    std::uint64_t newestEpochSeen();
-    void adopt(Core core);
+    bool hasUnwellDisk(const std::string& voter) const;
+    void sendProposerRequests(Nanos now);
+    void handleHello(int link, Peer& peer, const Hello& hello, Nanos now);
+    void handleLeaseRequest(int link, const Peer& peer, const Json& message, Nanos now);
+    void handleLeaseReply(int link, const Peer& peer, const Json& message, Nanos now);
+    void reportViolation(board::Invariant& invariant, const std::string& detail);
+    void handleStateRequest(int link, const StateRequest& request);
+    void handleStateReply(const std::string& voter, const StateReply& reply);
+    void continueRecovery(Nanos now);
+    void resolveVoterSet(Nanos now);
+    std::uint64_t newestAcceptedEpoch();
+    void adoptVoterSet(VoterSet voterSet);
     void sendToVoter(const std::string& voter, Json message) override;
     bool linkedTo(const std::string& member) const override;
-    std::set<std::string> registersHeld() const override;
-    void acceptAnew(const std::string& name, std::function<void(bool accepted)> done) override;
-    void writeCore(const Core& next, std::function<void()> done) override;
+    std::set<std::string> heldRegisters() const override;
+    void reaccept(const std::string& name, std::function<void(bool accepted)> done) override;
+    void writeVoterSet(const VoterSet& next, std::function<void()> done) override;
     void logMembership(std::string line) override { outputs_.push_back(ToLog{std::move(line)}); }
-    void depart(Nanos now);
-    void ownRecord();
-    void repair(Nanos now);
-    void rounds(Nanos now);
-    void ownDuties(Nanos now);
-    void endOverdue(Nanos now);
-    bool votes() const { return core_.voters.count(self_) > 0 && !recovering_; }
+    void continueShutdown(Nanos now);
+    void publishMemberRecord();
+    void resolveUnpublished(Nanos now);
+    void startLeaseRound(Nanos now);
+    void assignFailoverOwners(Nanos now);
+    void removeExpiredRecords(Nanos now);
+    bool hasVote() const { return voterSet_.voters.count(self_) > 0 && !recovering_; }
     int linkTo(const std::string& member) const;
-    void suspected(const Json& message, Nanos now);
+    void handleSuspicion(const Json& message, Nanos now);
 
     const settings::Settings settings_;
     const std::string self_, incarnation_;
@@ -157,25 +157,25 @@
     board::Gossip gossip_;
     Acceptor acceptor_;
     Proposer proposer_;
-    Core core_;
+    VoterSet voterSet_;
     bool recovering_ = false;  // the disk was empty, and what others hold is not read yet
-    DiskWatch diskWatch_;
+    DiskHealthMonitor diskMonitor_;
     Nanos now_ = 0;
     Membership membership_;
-    Departure departure_;
-    std::map<std::string, Nanos> unannounced_;  // registers accepted here that nobody has said to stand
+    GracefulShutdown shutdown_;
+    std::map<std::string, Nanos> unpublished_;  // registers accepted here that nobody has said to stand
     Recovery recovery_;
     std::map<int, Peer> peers_;
     std::map<std::string, std::string> incarnations_;
-    std::map<std::string, Nanos> memberHeard_;
-    UnsettledLeads unsettledLeads_;
+    std::map<std::string, Nanos> lastContact_;
+    UnsettledLeads unsettledPrimaries_;
     LeaseRounds lease_;
-    board::ContactWatch contact_;
+    board::ContactWatch contactMonitor_;
     board::Invariant newsBeforeLease_{board::newsBeforeLease};
-    std::map<std::string, std::unique_ptr<Succession>> successions_;
-    std::map<std::uint64_t, Succession*> asks_;
-    std::uint64_t nextAsk_ = 1;
-    Nanos roundAt_ = 0, startedAt_, readAt_ = 0;
+    std::map<std::string, std::unique_ptr<Succession>> failovers_;
+    std::map<std::uint64_t, Succession*> pendingRequests_;
+    std::uint64_t nextRequestId_ = 1;
+    Nanos lastLeaseRoundAt_ = 0, startedAt_, lastResolveAt_ = 0;
     configuration::Configuration configuration_;
     StoreRegistry stores_;
     OperatorCalls operatorCalls_;
--- a/src/control/member_duties.cpp
+++ b/src/control/member_failover.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 // A member whose link is down for longer counts as away when duties are dealt out.
-constexpr Nanos awayAfter = millis(600);
+constexpr Nanos maxLinkDownTime = millis(600);
 
 // Rendezvous hashing (Thaler and Ravishankar, 1998): the highest of all members' values for a name has it.
-std::uint64_t weight(const std::string& member, const std::string& name) {
+std::uint64_t rendezvousWeight(const std::string& member, const std::string& name) {
     const std::string both = member + '\n' + name;
     return XXH64(both.data(), both.size(), 0);
 }
 }  // namespace
 
-std::uint64_t ControlMember::nextAsk(Succession& asker) {
-    asks_[nextAsk_] = &asker;
-    return nextAsk_++;
+std::uint64_t ControlMember::nextAsk(Succession& requester) {
+    pendingRequests_[nextRequestId_] = &requester;
+    return nextRequestId_++;
 }
 
 void ControlMember::change(const std::string& service, std::uint64_t ifSeq, Lead to,
@@ -37,13 +37,13 @@
                          *applied = true;
                          return Json(wanted);
                      },
-                     [this, name, wanted, applied, done = std::move(done)](std::optional<Json> stands) {
-                         if (stands) learn(name, *stands);
-                         const bool ours = stands && *applied && *stands == wanted;
-                         done(ours ? readLead(*stands) : std::nullopt);
+                     [this, name, wanted, applied, done = std::move(done)](std::optional<Json> chosen) {
+                         if (chosen) publishChosen(name, *chosen);
+                         const bool ours = chosen && *applied && *chosen == wanted;
+                         done(ours ? readLead(*chosen) : std::nullopt);
                      }},
-                    now_, now_ + changeWithin);
-    flushProposer(now_);
+                    now_, now_ + changeTimeout);
+    sendProposerRequests(now_);
 }
 
 // A read by a majority that promises to take nothing older: what replaces the lead is chosen after it began.
@@ -53,14 +53,14 @@
     proposer_.begin(
         {name, [](const Json& was) { return was; },
          [this, name, wanted = written(expected), done = std::move(done)](std::optional<Json> is) {
-             if (is) learn(name, *is);
+             if (is) publishChosen(name, *is);
              const auto lead = is ? readLead(*is) : std::nullopt;
              if (is && (!lead || written(*lead) != wanted)) return done(Confirmation::replaced, now_);
              const bool contact = leased(now_);
              done(is && contact ? Confirmation::stands : Confirmation::unknown, now_);
          }},
-        now_, now_ + changeWithin);
-    flushProposer(now_);
+        now_, now_ + changeTimeout);
+    sendProposerRequests(now_);
 }
 
 int ControlMember::syncReplicas(const std::string& service) const {
@@ -68,10 +68,10 @@
     return known ? known->syncReplicas : 1;  // not known yet: as if it had some
 }
 
-void ControlMember::suspected(const Json& message, Nanos now) {
+void ControlMember::handleSuspicion(const Json& message, Nanos now) {
     const std::string service = message.at("service");
-    const auto at = successions_.find(service);
-    if (at != successions_.end()) at->second->suspected(message.at("store"), now);
+    const auto at = failovers_.find(service);
+    if (at != failovers_.end()) at->second->suspected(message.at("store"), now);
     // The member that owns the duty may be another; it is told once.
     if (message.value("passed", false)) return;
     Json on = message;
@@ -80,49 +80,51 @@
         if (!peer.dialled.empty()) send(link, on);
 }
 
-void ControlMember::storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanos now) {
+void ControlMember::handleStoreReply(std::uint64_t ask, std::optional<StoreRow> row, Nanos now) {
     now_ = now;
-    const auto at = asks_.find(ask);
-    if (at == asks_.end()) return;
-    Succession* asker = at->second;
-    asks_.erase(at);
-    asker->answered(ask, row, now);
+    const auto at = pendingRequests_.find(ask);
+    if (at == pendingRequests_.end()) return;
+    Succession* requester = at->second;
+    pendingRequests_.erase(at);
+    requester->answered(ask, row, now);
 }
 
-void ControlMember::platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanos now) {
+void ControlMember::handlePlatformReply(std::uint64_t ask, PromotionAnswer answer, Nanos now) {
     now_ = now;
-    const auto at = asks_.find(ask);
-    if (at == asks_.end()) return;
-    Succession* asker = at->second;
-    asks_.erase(at);
-    asker->promoted(ask, answer, now);
+    const auto at = pendingRequests_.find(ask);
+    if (at == pendingRequests_.end()) return;
+    Succession* requester = at->second;
+    pendingRequests_.erase(at);
+    requester->promoted(ask, answer, now);
 }
 
 // Each service's duty belongs to the voter with the highest value for its name among those in reach.
-void ControlMember::ownDuties(Nanos now) {
+void ControlMember::assignFailoverOwners(Nanos now) {
     if (!settings_.promotes) return;
-    std::vector<std::string> here;
-    for (const std::string& voter : core_.voters) {
-        if (membership_.leaves(voter)) continue;
-        const auto at = memberHeard_.find(voter);
-        if (voter == self_ || linkTo(voter) || (at != memberHeard_.end() && now - at->second < awayAfter))
-            here.push_back(voter);
+    std::vector<std::string> reachable;
+    for (const std::string& voter : voterSet_.voters) {
+        if (membership_.isLeaving(voter)) continue;
+        const auto at = lastContact_.find(voter);
+        if (voter == self_ || linkTo(voter) ||
+            (at != lastContact_.end() && now - at->second < maxLinkDownTime))
+            reachable.push_back(voter);
     }
-    const bool majority = here.size() >= core_.majority() && now < lease_.until();
+    const bool majority = reachable.size() >= voterSet_.majority() && now < lease_.until();
     board().under("store/", [&](const std::string&, const board::Record& record) {
         if (!record.body.is_object()) return;
-        auto& slot = successions_[record.body.at("service").get<std::string>()];
+        auto& slot = failovers_[record.body.at("service").get<std::string>()];
         if (!slot)
             slot = std::make_unique<Succession>(
                 self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
                 PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
     });
-    std::erase_if(here, [this](const std::string& voter) { return disqualified(voter); });
-    for (const auto& [service, succession] : successions_) {
-        const auto best = std::max_element(here.begin(), here.end(), [&, &name = service](auto& a, auto& b) {
-            return weight(a, name) < weight(b, name);
-        });
-        succession->own(majority && votes() && best != here.end() && *best == self_, now);
+    std::erase_if(reachable, [this](const std::string& voter) { return hasUnwellDisk(voter); });
+    for (const auto& [service, succession] : failovers_) {
+        const auto best =
+            std::max_element(reachable.begin(), reachable.end(), [&, &name = service](auto& a, auto& b) {
+                return rendezvousWeight(a, name) < rendezvousWeight(b, name);
+            });
+        succession->own(majority && hasVote() && best != reachable.end() && *best == self_, now);
         succession->tick(now);
     }
 }
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -6,110 +6,113 @@
 
 namespace {
 // A change of voters that has not come through by then is given up, and judged anew.
-constexpr Nanos reformWithin = millis(3000);
+constexpr Nanos changeTimeout = millis(3000);
 // Links carry what is sent or end; a voter may have had no vote yet when it was asked.
-constexpr Nanos askAgain = millis(300);
+constexpr Nanos surveyRetryInterval = millis(300);
 // After a change that the other voters did not bear out, or that failed, no other is tried for this long.
-constexpr Nanos pauseAfterFailure = millis(1000);
+constexpr Nanos retryDelayAfterFailure = millis(1000);
 }  // namespace
 
-MembershipTimes timesFor(int syncIn_ms) {
-    MembershipTimes times;
-    times.absent = millis(std::clamp(syncIn_ms / 4, 500, 2000));
-    times.afterStart = 3 * times.absent;
-    return times;
+ReachabilityTimeouts timeoutsFor(int syncIn_ms) {
+    ReachabilityTimeouts timeouts;
+    timeouts.absentAfter = millis(std::clamp(syncIn_ms / 4, 500, 2000));
+    timeouts.startGracePeriod = 3 * timeouts.absentAfter;
+    return timeouts;
 }
 
-MemberStanding MemberStanding::fromJson(const Json& body) {
+MemberStatus MemberStatus::fromJson(const Json& body) {
     if (!body.is_object()) return {};
     return {body.value("leaving", false), body.value("recovering", false)};
 }
 
-Json CensusRequest::toJson() const {
+Json SurveyRequest::toJson() const {
     return {{"k", "census?"}, {"epoch", epoch}, {"voters", voters}, {"absent", absent}};
 }
 
-CensusRequest CensusRequest::fromJson(const Json& message) {
+SurveyRequest SurveyRequest::fromJson(const Json& message) {
     return {message.at("epoch").get<std::uint64_t>(), message.at("voters").get<std::set<std::string>>(),
             message.at("absent").get<std::string>()};
 }
 
-Json CensusReply::toJson() const {
-    return {{"k", "census"}, {"epoch", epoch}, {"registers", registers}, {"hears_absent", hearsAbsent}};
+Json SurveyReply::toJson() const {
+    return {{"k", "census"}, {"epoch", epoch}, {"registers", registers}, {"hears_absent", reachesAbsent}};
 }
 
-CensusReply CensusReply::fromJson(const Json& message) {
+SurveyReply SurveyReply::fromJson(const Json& message) {
     return {message.at("epoch").get<std::uint64_t>(), message.at("registers").get<std::set<std::string>>(),
             message.at("hears_absent").get<bool>()};
 }
 
-Membership::Membership(std::string self, const settings::Settings& settings, Means& means, Nanos now)
+Membership::Membership(std::string self, const settings::Settings& settings, Host& host, Nanos now)
     : self_(std::move(self)),
-      times_(timesFor(settings.syncIn_ms)),
-      fewestVoters_(fewestVotersFor(settings.tolerance)),
-      means_(means),
+      timeouts_(timeoutsFor(settings.syncIn_ms)),
+      minVoters_(minVotersFor(settings.tolerance)),
+      host_(host),
       startedAt_(now) {}
 
-void Membership::adopted(const Core& core, Nanos now) {
-    core_ = core;
+void Membership::adopt(const VoterSet& voterSet, Nanos now) {
+    voterSet_ = voterSet;
     adoptedAt_ = now;
-    reform_.reset();
-    needed_.reset();
+    pendingChange_.reset();
+    neededChange_.reset();
 }
 
-bool Membership::leaves(const std::string& member) const {
-    const auto at = standing_.find(member);
-    return at != standing_.end() && at->second.leaving;
+bool Membership::isLeaving(const std::string& member) const {
+    const auto at = statuses_.find(member);
+    return at != statuses_.end() && at->second.leaving;
 }
 
-bool Membership::inReach(const std::string& member, Nanos now) const {
+bool Membership::isReachable(const std::string& member, Nanos now) const {
     if (member == self_) return true;
     const auto at = lastHeard_.find(member);
-    return at != lastHeard_.end() && now - at->second <= times_.silence && means_.linkedTo(member);
+    return at != lastHeard_.end() && now - at->second <= timeouts_.maxSilence && host_.linkedTo(member);
 }
 
 bool Membership::absentFor(const std::string& voter, Nanos bound, Nanos now) const {
-    const auto since = awaySince_.find(voter);
-    if (since == awaySince_.end() || inReach(voter, now)) return false;
+    const auto since = unreachableSince_.find(voter);
+    if (since == unreachableSince_.end() || isReachable(voter, now)) return false;
     // After a restart of all, members return one after the other.
-    if (!lastHeard_.count(voter) && !leaves(voter) && now - startedAt_ < times_.afterStart) return false;
+    if (!lastHeard_.count(voter) && !isLeaving(voter) && now - startedAt_ < timeouts_.startGracePeriod)
+        return false;
     return now - since->second >= bound;
 }
 
-void Membership::observe(Nanos now) {
-    for (const std::string& voter : core_.voters) {
-        if (inReach(voter, now))
-            awaySince_.erase(voter);
+void Membership::updateReachability(Nanos now) {
+    for (const std::string& voter : voterSet_.voters) {
+        if (isReachable(voter, now))
+            unreachableSince_.erase(voter);
         else
-            awaySince_.try_emplace(voter, now);
+            unreachableSince_.try_emplace(voter, now);
     }
-    std::erase_if(presentSince_, [&](const auto& each) { return !inReach(each.first, now); });
+    std::erase_if(reachableSince_, [&](const auto& each) { return !isReachable(each.first, now); });
     for (const auto& [member, at] : lastHeard_)
-        if (inReach(member, now)) presentSince_.try_emplace(member, now);
+        if (isReachable(member, now)) reachableSince_.try_emplace(member, now);
 }
 
-VoterView Membership::view(Nanos now, Newcomers newcomers) const {
+VoterView Membership::view(Nanos now, CandidateFilter filter) const {
     VoterView view;
-    view.voters = core_.voters;
-    view.fewestVoters = fewestVoters_;
-    for (const std::string& voter : core_.voters) {
-        if (inReach(voter, now)) {
-            if (leaves(voter)) view.departing.insert(voter);
+    view.voters = voterSet_.voters;
+    view.minVoters = minVoters_;
+    for (const std::string& voter : voterSet_.voters) {
+        if (isReachable(voter, now)) {
+            if (isLeaving(voter)) view.departing.insert(voter);
             continue;
         }
         view.unreachable.insert(voter);
-        if (absentFor(voter, leaves(voter) ? 0 : times_.absent, now)) view.absent.insert(voter);
-        if (absentFor(voter, leaves(voter) ? 0 : times_.absentForGood, now)) view.absentForGood.insert(voter);
+        if (absentFor(voter, isLeaving(voter) ? 0 : timeouts_.absentAfter, now)) view.absent.insert(voter);
+        if (absentFor(voter, isLeaving(voter) ? 0 : timeouts_.longAbsentAfter, now))
+            view.longAbsent.insert(voter);
     }
     std::vector<std::pair<Nanos, std::string>> bySince;
-    for (const auto& [member, since] : presentSince_) {
-        if (core_.voters.count(member) || !inReach(member, now)) continue;
-        const auto standing = standing_.find(member);
-        const bool known = standing != standing_.end();
-        if (known && standing->second.leaving) continue;
+    for (const auto& [member, since] : reachableSince_) {
+        if (voterSet_.voters.count(member) || !isReachable(member, now)) continue;
+        const auto status = statuses_.find(member);
+        const bool known = status != statuses_.end();
+        if (known && status->second.leaving) continue;
         // It reads the state before it may vote: who leaves waits for it, who changes the voters does not.
-        if (known && standing->second.recovering && newcomers == Newcomers::settled) continue;
-        if (newcomers == Newcomers::all || now - since >= times_.settle) bySince.emplace_back(since, member);
+        if (known && status->second.recovering && filter == CandidateFilter::stable) continue;
+        if (filter == CandidateFilter::all || now - since >= timeouts_.candidateDelay)
+            bySince.emplace_back(since, member);
     }
     std::sort(bySince.begin(), bySince.end());
     for (auto& [since, member] : bySince) view.candidates.push_back(std::move(member));
@@ -118,103 +121,109 @@
 
 // How many voters in reach come before this one: what any may do the first does, the next if it has not. One
 // that leaves comes behind those that stay.
-std::size_t Membership::rank(Nanos now) const {
+std::size_t Membership::turnOrder(Nanos now) const {
     return static_cast<std::size_t>(
-        std::count_if(core_.voters.begin(), core_.voters.end(), [&](const std::string& voter) {
-            return inReach(voter, now) && std::pair(leaves(voter), voter) < std::pair(leaves(self_), self_);
+        std::count_if(voterSet_.voters.begin(), voterSet_.voters.end(), [&](const std::string& voter) {
+            return isReachable(voter, now) &&
+                   std::pair(isLeaving(voter), voter) < std::pair(isLeaving(self_), self_);
         }));
 }
 
 void Membership::tick(bool votes, Nanos now) {
-    observe(now);
-    if (!votes || now < notBefore_) return;
-    if (reform_) {
-        if (now - reform_->since > reformWithin) return giveUp(now, "took too long");
-        if (!reform_->accepting && now - reform_->askedAt >= askAgain) ask(now);
-        return proceed(now);
+    updateReachability(now);
+    if (!votes || now < noChangeBefore_) return;
+    if (pendingChange_) {
+        if (now - pendingChange_->startedAt > changeTimeout) return abandon(now, "took too long");
+        if (!pendingChange_->reaccepting && now - pendingChange_->lastSurveyAt >= surveyRetryInterval)
+            sendSurvey(now);
+        return advance(now);
     }
-    const std::optional<VoterChange> change = nextVoterChange(view(now, Newcomers::settled));
-    if (change != needed_) neededSince_ = now;
-    needed_ = change;
-    if (change && now - neededSince_ >= static_cast<Nanos>(rank(now)) * times_.turn) begin(*change, now);
+    const std::optional<VoterChange> change = nextVoterChange(view(now, CandidateFilter::stable));
+    if (change != neededChange_) neededSince_ = now;
+    neededChange_ = change;
+    if (change && now - neededSince_ >= static_cast<Nanos>(turnOrder(now)) * timeouts_.turnLength)
+        startChange(*change, now);
 }
 
-void Membership::begin(const VoterChange& change, Nanos now) {
-    Reform reform;
-    reform.next = {core_.epoch + 1, votersAfter(core_.voters, change)};
-    reform.change = change;
-    reform.since = now;
-    reform.number = ++lastReform_;
-    reform.heard.insert(self_);
-    reform.registers = means_.registersHeld();
-    reform_ = std::move(reform);
-    ask(now);
-    proceed(now);
+void Membership::startChange(const VoterChange& change, Nanos now) {
+    PendingChange pending;
+    pending.next = {voterSet_.epoch + 1, votersAfter(voterSet_.voters, change)};
+    pending.change = change;
+    pending.startedAt = now;
+    pending.number = ++lastChangeNumber_;
+    pending.replied.insert(self_);
+    pending.registers = host_.heldRegisters();
+    pendingChange_ = std::move(pending);
+    sendSurvey(now);
+    advance(now);
 }
 
-void Membership::ask(Nanos now) {
-    reform_->askedAt = now;
-    const bool absent = reform_->change.kind == VoterChange::Kind::removeAbsent;
-    const CensusRequest request{core_.epoch, core_.voters, absent ? reform_->change.member : ""};
-    for (const std::string& voter : core_.voters)
-        if (!reform_->heard.count(voter)) means_.sendToVoter(voter, request.toJson());
+void Membership::sendSurvey(Nanos now) {
+    pendingChange_->lastSurveyAt = now;
+    const bool absent = pendingChange_->change.kind == VoterChange::Kind::removeAbsent;
+    const SurveyRequest request{voterSet_.epoch, voterSet_.voters,
+                                absent ? pendingChange_->change.member : ""};
+    for (const std::string& voter : voterSet_.voters)
+        if (!pendingChange_->replied.count(voter)) host_.sendToVoter(voter, request.toJson());
 }
 
-bool Membership::changing(Nanos now) const {
-    return reform_ || now - adoptedAt_ < askAgain;
+bool Membership::changeInProgress(Nanos now) const {
+    return pendingChange_ || now - adoptedAt_ < surveyRetryInterval;
 }
 
-CensusReply Membership::answer(const CensusRequest& request, Nanos now) const {
-    return {core_.epoch, means_.registersHeld(), !request.absent.empty() && inReach(request.absent, now)};
+SurveyReply Membership::answer(const SurveyRequest& request, Nanos now) const {
+    return {voterSet_.epoch, host_.heldRegisters(),
+            !request.absent.empty() && isReachable(request.absent, now)};
 }
 
-void Membership::heard(const std::string& voter, const CensusReply& reply, Nanos now) {
-    if (!reform_ || reply.epoch != core_.epoch || !core_.voters.count(voter)) return;
-    reform_->heard.insert(voter);
-    if (reply.hearsAbsent) reform_->hearing.insert(voter);
-    reform_->registers.insert(reply.registers.begin(), reply.registers.end());
-    proceed(now);
+void Membership::handleReply(const std::string& voter, const SurveyReply& reply, Nanos now) {
+    if (!pendingChange_ || reply.epoch != voterSet_.epoch || !voterSet_.voters.count(voter)) return;
+    pendingChange_->replied.insert(voter);
+    if (reply.reachesAbsent) pendingChange_->reachesAbsent.insert(voter);
+    pendingChange_->registers.insert(reply.registers.begin(), reply.registers.end());
+    advance(now);
 }
 
-void Membership::proceed(Nanos now) {
-    if (reform_->accepting || reform_->heard.size() < core_.majority()) return;
-    if (reform_->change.kind == VoterChange::Kind::removeAbsent) {
-        if (inReach(reform_->change.member, now)) return giveUp(now, "it is in reach again");
+void Membership::advance(Nanos now) {
+    if (pendingChange_->reaccepting || pendingChange_->replied.size() < voterSet_.majority()) return;
+    if (pendingChange_->change.kind == VoterChange::Kind::removeAbsent) {
+        if (isReachable(pendingChange_->change.member, now)) return abandon(now, "it is in reach again");
         // A majority must miss it: one member's lost link, either way, takes no vote from another.
-        if (reform_->heard.size() - reform_->hearing.size() < core_.majority()) return;
+        if (pendingChange_->replied.size() - pendingChange_->reachesAbsent.size() < voterSet_.majority())
+            return;
     }
-    acceptAll();
+    reacceptAll();
 }
 
 // The next epoch's majorities meet those of the present one, not those before: what these have chosen is
 // accepted anew first.
-void Membership::acceptAll() {
-    reform_->accepting = true;
-    reform_->acceptancesLeft = reform_->registers.size();
-    const std::uint64_t number = reform_->number;
-    const std::set<std::string> registers = reform_->registers;
-    if (registers.empty()) return write();
+void Membership::reacceptAll() {
+    pendingChange_->reaccepting = true;
+    pendingChange_->remainingReaccepts = pendingChange_->registers.size();
+    const std::uint64_t number = pendingChange_->number;
+    const std::set<std::string> registers = pendingChange_->registers;
+    if (registers.empty()) return writeNextVoterSet();
     for (const std::string& name : registers)
-        means_.acceptAnew(name, [this, number](bool accepted) {
-            if (!reform_ || reform_->number != number) return;
-            if (!accepted) return reform_.reset();
-            if (--reform_->acceptancesLeft == 0) write();
+        host_.reaccept(name, [this, number](bool accepted) {
+            if (!pendingChange_ || pendingChange_->number != number) return;
+            if (!accepted) return pendingChange_.reset();
+            if (--pendingChange_->remainingReaccepts == 0) writeNextVoterSet();
         });
 }
 
-void Membership::write() {
-    if (std::exchange(reform_->writing, true)) return;
-    const std::uint64_t number = reform_->number;
-    means_.writeCore(reform_->next, [this, number] {
-        if (reform_ && reform_->number == number) reform_.reset();
+void Membership::writeNextVoterSet() {
+    if (std::exchange(pendingChange_->writing, true)) return;
+    const std::uint64_t number = pendingChange_->number;
+    host_.writeVoterSet(pendingChange_->next, [this, number] {
+        if (pendingChange_ && pendingChange_->number == number) pendingChange_.reset();
     });
 }
 
-void Membership::giveUp(Nanos now, const std::string& cause) {
-    means_.logMembership("change of voters given up at " + reform_->change.member + ": " + cause);
-    reform_.reset();
-    needed_.reset();
-    notBefore_ = now + pauseAfterFailure;
+void Membership::abandon(Nanos now, const std::string& cause) {
+    host_.logMembership("change of voters given up at " + pendingChange_->change.member + ": " + cause);
+    pendingChange_.reset();
+    neededChange_.reset();
+    noChangeBefore_ = now + retryDelayAfterFailure;
 }
 
 }  // namespace granitereel::control
--- a/src/control/membership.hpp
+++ b/src/control/membership.hpp
@@ -19,115 +19,115 @@
 namespace granitereel::control {
 
 // What a member's record says of it.
-struct MemberStanding {
+struct MemberStatus {
     bool leaving = false;     // told to end
     bool recovering = false;  // its disk was lost, and it has not read the state yet
-    static MemberStanding fromJson(const Json& body);
+    static MemberStatus fromJson(const Json& body);
 };
 
 // Bounds of the judgement of who is in reach. Those of `timesFor` follow from guarantees.sync_in_s, within
 // half of which a replacement must be complete.
-struct MembershipTimes {
-    Nanos silence = millis(600);  // a link that carried nothing for longer is as good as none
-    Nanos absent = millis(1000);  // out of reach for longer: absent
-    Nanos absentForGood = millis(15'000);
-    Nanos afterStart = millis(3000);  // a voter not yet heard in this life is not judged before
-    Nanos settle = millis(300);       // in reach for longer: may get a vote
-    Nanos turn = millis(500);         // what the first voter in reach has not done the next does after this
+struct ReachabilityTimeouts {
+    Nanos maxSilence = millis(600);    // a link that carried nothing for longer is as good as none
+    Nanos absentAfter = millis(1000);  // out of reach for longer: absent
+    Nanos longAbsentAfter = millis(15'000);
+    Nanos startGracePeriod = millis(3000);  // a voter not yet heard in this life is not judged before
+    Nanos candidateDelay = millis(300);     // in reach for longer: may get a vote
+    Nanos turnLength = millis(500);  // what the first voter in reach has not done the next does after this
 };
-MembershipTimes timesFor(int syncIn_ms);
+ReachabilityTimeouts timeoutsFor(int syncIn_ms);
 
 // Asks a voter which registers it holds, and whether it hears a voter that is to be removed as absent. Who is
 // asked adopts the epoch first, so that it refuses the messages of earlier ones from then on.
-struct CensusRequest {
+struct SurveyRequest {
     std::uint64_t epoch = 0;
     std::set<std::string> voters;
     std::string absent;  // empty: none
     Json toJson() const;
-    static CensusRequest fromJson(const Json& message);  // throws nlohmann::json::exception
+    static SurveyRequest fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
-struct CensusReply {
+struct SurveyReply {
     std::uint64_t epoch = 0;
     std::set<std::string> registers;
-    bool hearsAbsent = false;
+    bool reachesAbsent = false;
     Json toJson() const;
-    static CensusReply fromJson(const Json& message);  // throws nlohmann::json::exception
+    static SurveyReply fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
 class Membership {
 public:
     // What it needs of the member that holds it.
-    struct Means {
-        virtual ~Means() = default;
+    struct Host {
+        virtual ~Host() = default;
         // Over the link to that voter; lost where there is none.
         virtual void sendToVoter(const std::string& voter, Json message) = 0;
         virtual bool linkedTo(const std::string& member) const = 0;
-        virtual std::set<std::string> registersHeld() const = 0;
+        virtual std::set<std::string> heldRegisters() const = 0;
         // Reads a register and has what stands accepted anew by a majority of the present voters.
-        virtual void acceptAnew(const std::string& name, std::function<void(bool accepted)> done) = 0;
+        virtual void reaccept(const std::string& name, std::function<void(bool accepted)> done) = 0;
         // Writes the next core, where its epoch follows the one that stands.
-        virtual void writeCore(const Core& next, std::function<void()> done) = 0;
+        virtual void writeVoterSet(const VoterSet& next, std::function<void()> done) = 0;
         virtual void logMembership(std::string line) = 0;
     };
 
-    Membership(std::string self, const settings::Settings& settings, Means& means, Nanos now);
+    Membership(std::string self, const settings::Settings& settings, Host& host, Nanos now);
 
     // What is under way for an earlier epoch is given up.
-    void adopted(const Core& core, Nanos now);
-    void heard(const std::string& member, Nanos now) { lastHeard_[member] = now; }
+    void adopt(const VoterSet& voterSet, Nanos now);
+    void recordContact(const std::string& member, Nanos now) { lastHeard_[member] = now; }
     // The last one told holds: a member that starts again makes its record anew.
-    void told(const std::string& member, MemberStanding standing) { standing_[member] = standing; }
+    void updateStatus(const std::string& member, MemberStatus status) { statuses_[member] = status; }
     // Does what this member's turn is; `votes`: whether this member may vote.
     void tick(bool votes, Nanos now);
     // Whether a change is under way or was made a moment ago: then another may follow at once, and `tick` is
     // called with every message, so that the core is between two changes as shortly as can be.
-    bool changing(Nanos now) const;
-    CensusReply answer(const CensusRequest& request, Nanos now) const;
-    void heard(const std::string& voter, const CensusReply& reply, Nanos now);
+    bool changeInProgress(Nanos now) const;
+    SurveyReply answer(const SurveyRequest& request, Nanos now) const;
+    void handleReply(const std::string& voter, const SurveyReply& reply, Nanos now);
 
-    bool inReach(const std::string& member, Nanos now) const;
-    bool leaves(const std::string& member) const;
+    bool isReachable(const std::string& member, Nanos now) const;
+    bool isLeaving(const std::string& member) const;
     // Whether, from what this member sees, the voters are as they should be, also once those in reach that
     // have just come may vote.
-    bool settled(Nanos now) const { return !nextVoterChange(view(now, Newcomers::all)); }
+    bool isStable(Nanos now) const { return !nextVoterChange(view(now, CandidateFilter::all)); }
 
 private:
     // A change of voters under way.
-    struct Reform {
-        Core next;
+    struct PendingChange {
+        VoterSet next;
         VoterChange change;
-        std::set<std::string> heard, hearing, registers;  // hearing: those who hear the absent voter
-        Nanos since = 0, askedAt = 0;
-        bool accepting = false, writing = false;
-        std::size_t acceptancesLeft = 0;
+        std::set<std::string> replied, reachesAbsent, registers;  // hearing: those who hear the absent voter
+        Nanos startedAt = 0, lastSurveyAt = 0;
+        bool reaccepting = false, writing = false;
+        std::size_t remainingReaccepts = 0;
         std::uint64_t number = 0;
     };
 
-    enum class Newcomers { settled, all };
-    VoterView view(Nanos now, Newcomers newcomers) const;
+    enum class CandidateFilter { stable, all };
+    VoterView view(Nanos now, CandidateFilter filter) const;
     bool absentFor(const std::string& voter, Nanos bound, Nanos now) const;
-    std::size_t rank(Nanos now) const;
-    void observe(Nanos now);
-    void begin(const VoterChange& change, Nanos now);
-    void ask(Nanos now);
-    void proceed(Nanos now);
-    void acceptAll();
-    void write();
-    void giveUp(Nanos now, const std::string& cause);
+    std::size_t turnOrder(Nanos now) const;
+    void updateReachability(Nanos now);
+    void startChange(const VoterChange& change, Nanos now);
+    void sendSurvey(Nanos now);
+    void advance(Nanos now);
+    void reacceptAll();
+    void writeNextVoterSet();
+    void abandon(Nanos now, const std::string& cause);
 
     const std::string self_;
-    const MembershipTimes times_;
-    const std::size_t fewestVoters_;
-    Means& means_;
+    const ReachabilityTimeouts timeouts_;
+    const std::size_t minVoters_;
+    Host& host_;
     const Nanos startedAt_;
-    Core core_;
-    std::map<std::string, Nanos> lastHeard_, awaySince_, presentSince_;
-    std::map<std::string, MemberStanding> standing_;
-    std::optional<VoterChange> needed_;
-    Nanos neededSince_ = 0, notBefore_ = 0, adoptedAt_ = 0;
-    std::optional<Reform> reform_;
-    std::uint64_t lastReform_ = 0;
+    VoterSet voterSet_;
+    std::map<std::string, Nanos> lastHeard_, unreachableSince_, reachableSince_;
+    std::map<std::string, MemberStatus> statuses_;
+    std::optional<VoterChange> neededChange_;
+    Nanos neededSince_ = 0, noChangeBefore_ = 0, adoptedAt_ = 0;
+    std::optional<PendingChange> pendingChange_;
+    std::uint64_t lastChangeNumber_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/messages.cpp
+++ b/src/control/messages.cpp
@@ -3,11 +3,11 @@
 namespace granitereel::control {
 
 namespace {
-Json coreMessage(const char* kind, const Core& core) {
-    return {{"k", kind}, {"e", core.epoch}, {"c", core.voters}};
+Json voterSetMessage(const char* kind, const VoterSet& voterSet) {
+    return {{"k", kind}, {"e", voterSet.epoch}, {"c", voterSet.voters}};
 }
 
-Core coreOf(const Json& message) {
+VoterSet voterSetJson(const Json& message) {
     return {message.at("e").get<std::uint64_t>(), message.at("c").get<std::set<std::string>>()};
 }
 }  // namespace
@@ -19,9 +19,9 @@
                  {"station", station},
                  {"incarnation", incarnation}};
     if (!district.empty()) message["district"] = district;
-    if (core) {
-        message["epoch"] = core->epoch;
-        message["voters"] = core->voters;
+    if (voterSet) {
+        message["epoch"] = voterSet->epoch;
+        message["voters"] = voterSet->voters;
     }
     return message;
 }
@@ -32,41 +32,41 @@
     hello.station = message.value("station", "");
     hello.district = message.value("district", "");
     hello.member = message.value("member", "");
-    if (hello.sender == fromMember) message.at("incarnation").get_to(hello.incarnation);
+    if (hello.sender == memberSender) message.at("incarnation").get_to(hello.incarnation);
     if (message.value("epoch", std::uint64_t(0)) > 0)
-        hello.core = {message.at("epoch").get<std::uint64_t>(),
-                      message.at("voters").get<std::set<std::string>>()};
+        hello.voterSet = {message.at("epoch").get<std::uint64_t>(),
+                          message.at("voters").get<std::set<std::string>>()};
     return hello;
 }
 
-Json PresentCore::toJson() const {
-    return coreMessage(kind, core);
+Json CurrentVoterSet::toJson() const {
+    return voterSetMessage(kind, voterSet);
 }
 
-PresentCore PresentCore::fromJson(const Json& message) {
-    return {coreOf(message)};
+CurrentVoterSet CurrentVoterSet::fromJson(const Json& message) {
+    return {voterSetJson(message)};
 }
 
 Json StateRequest::toJson() const {
-    Json message = coreMessage(kind, core);
-    if (!only.empty()) message["only"] = only;
+    Json message = voterSetMessage(kind, voterSet);
+    if (!onlyRegister.empty()) message["only"] = onlyRegister;
     return message;
 }
 
 StateRequest StateRequest::fromJson(const Json& message) {
-    return {coreOf(message), message.value("only", "")};
+    return {voterSetJson(message), message.value("only", "")};
 }
 
 Json StateReply::toJson() const {
     Json all = Json::object();
-    for (const auto& [name, slot] : slots) all[name] = written(slot);
+    for (const auto& [name, slot] : slots) all[name] = slotToJson(slot);
     return {{"k", kind}, {"e", epoch}, {"slots", std::move(all)}};
 }
 
 StateReply StateReply::fromJson(const Json& message) {
     StateReply reply;
     message.at("e").get_to(reply.epoch);
-    for (const auto& [name, slot] : message.at("slots").items()) reply.slots[name] = readSlot(slot);
+    for (const auto& [name, slot] : message.at("slots").items()) reply.slots[name] = slotFromJson(slot);
     return reply;
 }
 
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -16,26 +16,26 @@
 // The first message on a link, of both sides. An agent says `sender` "front" and its station only.
 struct Hello {
     static constexpr const char* kind = "hello";
-    static constexpr const char* fromMember = "member";
+    static constexpr const char* memberSender = "member";
     std::string sender, member, station, district, incarnation;
-    std::optional<Core> core;  // of who was dialled: the present one, as far as it knows
+    std::optional<VoterSet> voterSet;  // of who was dialled: the present one, as far as it knows
     Json toJson() const;
     static Hello fromJson(const Json& message);
 };
 
 // A later epoch than that of what was asked.
-struct PresentCore {
+struct CurrentVoterSet {
     static constexpr const char* kind = "stale";
-    Core core;
+    VoterSet voterSet;
     Json toJson() const;
-    static PresentCore fromJson(const Json& message);
+    static CurrentVoterSet fromJson(const Json& message);
 };
 
 // Asks for what a voter's disk holds, in this epoch.
 struct StateRequest {
     static constexpr const char* kind = "dump?";
-    Core core;
-    std::string only;  // one register; empty: all
+    VoterSet voterSet;
+    std::string onlyRegister;  // one register; empty: all
     Json toJson() const;
     static StateRequest fromJson(const Json& message);
 };
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -17,10 +17,10 @@
     // What is needed of the member.
     struct Means {
         virtual ~Means() = default;
-        virtual void beginChange(Change change, Nanos now, Nanos until) = 0;
+        virtual void beginChange(RegisterChange change, Nanos now, Nanos until) = 0;
         // The register's value that was seen to stand.
         virtual void configurationStands(const Json& value) = 0;
-        virtual void answerOperator(std::uint64_t call, Kind kind, std::string body) = 0;
+        virtual void answerOperator(std::uint64_t call, CallOutcome kind, std::string body) = 0;
         virtual void log(std::string line) = 0;
     };
     explicit OperatorCalls(Means& means) : means_(means) {}
--- a/src/control/answers.cpp
+++ b/src/control/outputs.cpp
@@ -2,27 +2,27 @@
 
 namespace granitereel::control {
 
-Reply replyOf(Kind kind) {
-    switch (kind) {
-        case Kind::taken:
+HttpReply httpReplyFor(CallOutcome outcome) {
+    switch (outcome) {
+        case CallOutcome::accepted:
             return {200, "taken"};
-        case Kind::notSound:
+        case CallOutcome::invalid:
             return {400, "not sound"};
-        case Kind::notFound:
+        case CallOutcome::notFound:
             return {404, "no such place"};
-        case Kind::notAllowed:
+        case CallOutcome::methodNotAllowed:
             return {405, "no such method here"};
-        case Kind::conflict:
+        case CallOutcome::conflict:
             return {409, "conflicts with what was taken"};
-        case Kind::tooLarge:
+        case CallOutcome::tooLarge:
             return {413, "too large"};
-        case Kind::elsewhere:
+        case CallOutcome::redirected:
             return {307, "another member is in contact with a majority"};
-        case Kind::noMajority:
+        case CallOutcome::noMajority:
             return {503, "no majority of the core answered in time"};
-        case Kind::unready:
+        case CallOutcome::notReady:
             return {503, "not ready yet"};
-        case Kind::leaving:
+        case CallOutcome::shuttingDown:
             return {503, "this member ends: another takes calls"};
     }
     return {500, "unknown"};
--- a/src/control/outputs.hpp
+++ b/src/control/outputs.hpp
@@ -16,23 +16,23 @@
 using Json = nlohmann::json;
 
 // How a call ended. The table in answers.cpp turns each into what its caller is told.
-enum class Kind {
-    taken,
-    notSound,
+enum class CallOutcome {
+    accepted,
+    invalid,
     notFound,
-    notAllowed,
+    methodNotAllowed,
     conflict,
     tooLarge,
-    elsewhere,
+    redirected,
     noMajority,
-    unready,
-    leaving,
+    notReady,
+    shuttingDown,
 };
-struct Reply {
+struct HttpReply {
     int status = 200;
     const char* text = "";
 };
-Reply replyOf(Kind kind);
+HttpReply httpReplyFor(CallOutcome outcome);
 
 // When an output leaves: at once, or when all writes that stand before it are synced.
 enum class Release { now, onceDurable };
@@ -53,27 +53,27 @@
 };
 struct ToCaller {
     std::uint64_t call = 0;
-    Kind kind = Kind::taken;
+    CallOutcome outcome = CallOutcome::accepted;
     std::string body;      // JSON; empty: what the table says
     std::string location;  // where the caller is sent on to, with Kind::elsewhere
 };
 // A call that must not leave later than at this time, as what it rests on may no longer stand then.
-constexpr Nanos anyTime = std::numeric_limits<Nanos>::max();
+constexpr Nanos noDeadline = std::numeric_limits<Nanos>::max();
 // A statement of control's own at a store: STATUS, PAUSE term, RESUME or STEPDOWN term. Sent once, over a
 // connection of its own.
 struct ToStore {
-    std::uint64_t ask = 0;
+    std::uint64_t requestId = 0;
     std::string store, service, address, text;
     int within_ms = 0;
-    Nanos notAfter = anyTime;
+    Nanos notAfter = noDeadline;
 };
 // POST /promotions. Sent once, over a connection of its own.
 struct ToPlatform {
-    std::uint64_t ask = 0;
+    std::uint64_t requestId = 0;
     std::string service, store, holder;
     std::uint64_t fence = 0;
     int within_ms = 0;
-    Nanos notAfter = anyTime;
+    Nanos notAfter = noDeadline;
 };
 // A change of state worth a line in the log.
 struct ToLog {
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -37,15 +37,15 @@
 std::unique_ptr<Disk> openDisk(const std::string& folder, DiskRecords& records) {
     for (bool told = false;; told = true) {
         try {
-            auto disk = std::make_unique<Disk>(folder, machineDisk(), drawIncarnation);
-            records = disk->all();
-            records[lifeKey] = nextLife(records);
-            disk->write({{lifeKey, records[lifeKey]}});
+            auto disk = std::make_unique<Disk>(folder, systemDisk(), drawIncarnation);
+            records = disk->readAll();
+            records[processIncarnationKey] = nextProcessIncarnation(records);
+            disk->write({{processIncarnationKey, records[processIncarnationKey]}});
             return disk;
         } catch (const DiskError& error) {
             if (error.fault() == DiskFault::lost) throw;
             if (!told) spdlog::warn("waiting for the disk: {}", error.what());
-            std::this_thread::sleep_for(DiskWriter::retryEvery);
+            std::this_thread::sleep_for(DiskWriter::defaultRetryDelay);
         }
     }
 }
@@ -71,7 +71,7 @@
           http_(loop_, transport::endpointOf(settings.controlAddress), 16 * 1024 * 1024,
                 [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
                        const std::string& body) {
-                    member_.call(call, method, path, body, transport::steadyNow());
+                    member_.handleCall(call, method, path, body, transport::steadyNow());
                     carryOut();
                 }) {}
 
@@ -91,7 +91,7 @@
 
 private:
     ControlMember begin() {
-        if (disk_->afterLoss() && !records_.count("core"))
+        if (disk_->stateWasLost() && !records_.count("core"))
             spdlog::warn("the state on disk was lost: begins anew");
         return ControlMember(settings_, disk_->incarnation(), std::exchange(records_, {}),
                              transport::steadyNow());
@@ -99,7 +99,7 @@
 
     DiskHealth diskHealth(Nanos now) const {
         if (diskRefuses_) return DiskHealth::refuses;
-        return now - gate_.waitingSince(now) >= slowDiskAfter ? DiskHealth::slow : DiskHealth::ok;
+        return now - gate_.oldestPendingWriteAt(now) >= slowSyncThreshold ? DiskHealth::slow : DiskHealth::ok;
     }
 
     void diskReported(const DiskReport& report) {
@@ -109,13 +109,13 @@
             exitCode_ = EXIT_FAILURE;
             return loop_.stop();
         }
-        const bool refuses = report.event == DiskReport::Event::refuses;
+        const bool refuses = report.event == DiskReport::Event::writeFailed;
         if (refuses && !diskRefuses_) spdlog::warn("{}", report.cause);
         diskRefuses_ = refuses;
         Outputs released;
-        if (!refuses) released = gate_.durable(report.ticket);
+        if (!refuses) released = gate_.release(report.ticket);
         const Nanos now = transport::steadyNow();
-        member_.diskSeen(diskHealth(now), now);
+        member_.updateDiskHealth(diskHealth(now), now);
         // Not through the gate again, where they would wait for the writes since.
         for (Output& output : released) carry(output);
         carryOut();
@@ -135,7 +135,7 @@
             }
             if (leaving_) return loop_.stop();  // told twice
             leaving_ = true;
-            member_.leave(transport::steadyNow());
+            member_.shutDown(transport::steadyNow());
             carryOut();
             listen();
         });
@@ -144,7 +144,7 @@
     void tick() {
         const Nanos now = transport::steadyNow();
         dial(now);
-        member_.diskSeen(diskHealth(now), now);
+        member_.updateDiskHealth(diskHealth(now), now);
         member_.tick(now);
         if (traffic_.due(now)) spdlog::info("sent: {}", traffic_.line());
         carryOut();
@@ -155,7 +155,7 @@
     }
 
     void dial(Nanos now) {
-        for (const std::string& member : member_.toDial()) {
+        for (const std::string& member : member_.membersToDial()) {
             auto& slot = dialled_[member];
             if (slot.link != 0 || now < slot.notBefore) continue;
             slot.notBefore = now + millis(250);
@@ -180,7 +180,7 @@
         if (!dialled.empty()) dialled_[dialled].link = no;
         link->start(
             [this, no](const nlohmann::json& message) {
-                member_.heard(no, message, transport::steadyNow());
+                member_.handleMessage(no, message, transport::steadyNow());
                 carryOut();
             },
             [this, no, dialled] {
@@ -196,10 +196,10 @@
     void carryOut() {
         for (Outputs outputs = member_.takeOutputs(); !outputs.empty(); outputs = member_.takeOutputs())
             for (Output& output : outputs)
-                if (!gate_.holds(output)) carry(output);
+                if (!gate_.hold(output)) carry(output);
         // All at once: one wake-up of the disk's thread, one sync.
         if (!toDisk_.empty()) writer_.submit(std::exchange(toDisk_, {}), lastWrite_);
-        if (member_.mayEnd()) end();
+        if (member_.shutdownComplete()) end();
     }
     // What was answered last gets the time to leave.
     void end() {
@@ -215,13 +215,13 @@
         const auto at = links_.find(out.link);
         if (at != links_.end()) traffic_.sent(out.message.at("k"), at->second->send(out.message));
     }
-    void carry(ToSelf& out) { member_.voteStored(out.reply, transport::steadyNow()); }
+    void carry(ToSelf& out) { member_.handleDurableVote(out.reply, transport::steadyNow()); }
     void carry(ToDisk& out) {
-        lastWrite_ = gate_.written(transport::steadyNow());
+        lastWrite_ = gate_.recordWrite(transport::steadyNow());
         toDisk_[out.name] = std::move(out.body);
     }
     void carry(ToCaller& out) {
-        const Reply reply = replyOf(out.kind);
+        const HttpReply reply = httpReplyFor(out.outcome);
         http_.answer(out.call, reply.status,
                      out.body.empty() ? nlohmann::json{{"fault", reply.text}}.dump() : out.body,
                      out.location);
@@ -230,8 +230,8 @@
     void carry(ToStore& out) {
         transport::storeCall(
             loop_, transport::endpointOf(out.address), out.service, out.store, out.text, out.within_ms,
-            [this, ask = out.ask](std::optional<std::string> row) {
-                member_.storeAnswered(ask, row ? readRow(*row) : std::nullopt, transport::steadyNow());
+            [this, ask = out.requestId](std::optional<std::string> row) {
+                member_.handleStoreReply(ask, row ? readRow(*row) : std::nullopt, transport::steadyNow());
                 carryOut();
             },
             [notAfter = out.notAfter] { return transport::steadyNow() < notAfter; });
@@ -241,8 +241,8 @@
             loop_, transport::endpointOf(settings_.platform), "POST", "/promotions",
             {{"X-Duty-Holder", settings_.station}, {"X-Fence-Number", std::to_string(out.fence)}},
             nlohmann::json{{"depot", out.service}, {"store_id", out.store}}.dump(), out.within_ms,
-            [this, ask = out.ask](int status) {
-                member_.platformAnswered(ask, promotionAnswerOf(status), transport::steadyNow());
+            [this, ask = out.requestId](int status) {
+                member_.handlePlatformReply(ask, promotionAnswerOf(status), transport::steadyNow());
                 carryOut();
             },
             [notAfter = out.notAfter] { return transport::steadyNow() < notAfter; });
--- a/src/control/recovery.cpp
+++ b/src/control/recovery.cpp
@@ -3,26 +3,26 @@
 namespace granitereel::control {
 
 void Recovery::epochChanged() {
-    answered_.clear();
-    askedAt_ = 0;
+    repliedVoters_.clear();
+    lastRequestAt_ = 0;
 }
 
-bool Recovery::askNow(const Core& core, const std::string& self, Nanos now) {
-    if (core.epoch == 0) return false;
-    if (core.voters.count(self) && now < notBefore_) return false;
-    if (askedAt_ != 0 && now - askedAt_ < askEvery) return false;
-    askedAt_ = now;
+bool Recovery::shouldRequestNow(const VoterSet& voterSet, const std::string& self, Nanos now) {
+    if (voterSet.epoch == 0) return false;
+    if (voterSet.voters.count(self) && now < notBefore_) return false;
+    if (lastRequestAt_ != 0 && now - lastRequestAt_ < requestInterval) return false;
+    lastRequestAt_ = now;
     return true;
 }
 
-bool Recovery::answered(const Core& core, const std::string& voter, std::uint64_t epoch) {
-    if (askedAt_ == 0 || epoch != core.epoch || !core.voters.count(voter)) return false;
-    answered_.insert(voter);
+bool Recovery::recordReply(const VoterSet& voterSet, const std::string& voter, std::uint64_t epoch) {
+    if (lastRequestAt_ == 0 || epoch != voterSet.epoch || !voterSet.voters.count(voter)) return false;
+    repliedVoters_.insert(voter);
     return true;
 }
 
-bool Recovery::complete(const Core& core, std::uint64_t newestEpoch) const {
-    return newestEpoch <= core.epoch && answered_.size() >= core.majority();
+bool Recovery::isComplete(const VoterSet& voterSet, std::uint64_t newestEpoch) const {
+    return newestEpoch <= voterSet.epoch && repliedVoters_.size() >= voterSet.majority();
 }
 
 }  // namespace granitereel::control
--- a/src/control/recovery.hpp
+++ b/src/control/recovery.hpp
@@ -19,18 +19,18 @@
     void epochChanged();
     // Whether the voters are to be asked now. Where this member has no vote in the epoch, none of its earlier
     // answers counts there, and nothing is waited for.
-    bool askNow(const Core& core, const std::string& self, Nanos now);
+    bool shouldRequestNow(const VoterSet& voterSet, const std::string& self, Nanos now);
     // An answer of another member that votes in this epoch; whether it counts.
-    bool answered(const Core& core, const std::string& voter, std::uint64_t epoch);
+    bool recordReply(const VoterSet& voterSet, const std::string& voter, std::uint64_t epoch);
     // `newestEpoch`: the highest that the register of the epoch was seen accepted with. Where it is above the
     // present, the present may be over, and what was chosen since is not among the answers.
-    bool complete(const Core& core, std::uint64_t newestEpoch) const;
+    bool isComplete(const VoterSet& voterSet, std::uint64_t newestEpoch) const;
 
 private:
-    static constexpr Nanos askEvery = millis(300);
+    static constexpr Nanos requestInterval = millis(300);
 
-    Nanos notBefore_ = 0, askedAt_ = 0;
-    std::set<std::string> answered_;
+    Nanos notBefore_ = 0, lastRequestAt_ = 0;
+    std::set<std::string> repliedVoters_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -7,27 +7,27 @@
 namespace granitereel::control {
 
 namespace {
-Slot readEarlierSlot(const Json& text) {
-    const Ballot promised{text.at("pr"), {text.at("pb"), "", 0}};
-    const Ballot accepted{text.at("ar"), {text.at("ab"), "", 0}};
-    return {promised, accepted, text.at("v")};
+Slot slotFromLegacyJson(const Json& json) {
+    const Ballot promised{json.at("pr"), {json.at("pb"), "", 0}};
+    const Ballot accepted{json.at("ar"), {json.at("ab"), "", 0}};
+    return {promised, accepted, json.at("v")};
 }
 }  // namespace
 
-Json written(const Slot& slot) {
-    Json text = {
+Json slotToJson(const Slot& slot) {
+    Json json = {
         {"promised", toJson(slot.promised)}, {"accepted", toJson(slot.accepted)}, {"value", slot.value}};
-    if (slot.learned) text["learned"] = true;
-    return text;
+    if (slot.learned) json["learned"] = true;
+    return json;
 }
 
-Slot readSlot(const Json& text) {
-    if (text.contains("pr")) return readEarlierSlot(text);
-    return {ballotFromJson(text.at("promised")), ballotFromJson(text.at("accepted")), text.at("value"),
-            text.value("learned", false)};
+Slot slotFromJson(const Json& json) {
+    if (json.contains("pr")) return slotFromLegacyJson(json);
+    return {ballotFromJson(json.at("promised")), ballotFromJson(json.at("accepted")), json.at("value"),
+            json.value("learned", false)};
 }
 
-Acceptor::Outcome Acceptor::answer(const VoteRequest& request) {
+Acceptor::Outcome Acceptor::handle(const VoteRequest& request) {
     Slot& slot = slots_[request.name];
     Outcome outcome = request.phase == VotePhase::prepare ? promise(slot, request) : accept(slot, request);
     outcome.reply.attempt = request.attempt;
@@ -46,7 +46,7 @@
     outcome.reply.kind = VoteKind::promised;
     outcome.reply.accepted = slot.accepted;
     outcome.reply.learned = slot.learned;
-    if (slot.accepted != request.held) outcome.reply.value = slot.value;
+    if (slot.accepted != request.knownAccepted) outcome.reply.value = slot.value;
     return outcome;
 }
 
@@ -57,10 +57,10 @@
     Json value = request.value;
     if (request.patch && slot.accepted == request.ballot) {
         value = slot.value;  // taken before; the answer was lost
-    } else if (request.patch && slot.accepted == request.base) {
+    } else if (request.patch && slot.accepted == request.patchBase) {
         value = slot.value.patch(*request.patch);
     } else if (request.patch) {
-        outcome.reply.kind = VoteKind::needsWhole;
+        outcome.reply.kind = VoteKind::needsFullValue;
         return outcome;
     }
     if (slot.accepted == request.ballot && slot.value != value) {
@@ -73,7 +73,7 @@
     return outcome;
 }
 
-bool Acceptor::merge(const std::string& name, const Slot& other) {
+bool Acceptor::mergeRecovered(const std::string& name, const Slot& other) {
     Slot& slot = slots_[name];
     bool changed = false;
     if (slot.promised < other.promised) slot.promised = other.promised, changed = true;
@@ -86,94 +86,96 @@
     return changed;
 }
 
-void Proposer::begin(Change change, Nanos now, Nanos until) {
-    const std::uint64_t no = nextNo_++;
-    Running& running = running_[no];
+void Proposer::begin(RegisterChange change, Nanos now, Nanos deadline) {
+    const std::uint64_t changeId = nextChangeId_++;
+    RunningChange& running = runningChanges_[changeId];
     running.change = std::move(change);
-    running.until = until;
-    prepare(no, running, now);
+    running.deadline = deadline;
+    prepare(changeId, running, now);
 }
 
-void Proposer::prepare(std::uint64_t no, Running& running, Nanos now) {
+void Proposer::prepare(std::uint64_t changeId, RunningChange& running, Nanos now) {
     // Above what this member's own disk has promised: another life's rounds are not tried again.
-    highestRound_ = std::max(highestRound_, held_(running.change.name).promised.round) + 1;
+    highestRound_ = std::max(highestRound_, localSlot_(running.change.name).promised.round) + 1;
     running.ballot = {highestRound_, self_};
-    running.best = {};
-    running.was = running.value = running.patch = nullptr;
-    running.accepting = running.paused = false;
-    running.answered.clear();
-    running.promisers.clear();
-    running.asked.clear();
-    running.lacksBase.clear();
-    askAll(no, running, now);
+    running.highestAccepted = {};
+    running.currentValue = running.newValue = running.patch = nullptr;
+    running.accepting = running.backingOff = false;
+    running.replies.clear();
+    running.promises.clear();
+    running.requested.clear();
+    running.lacksPatchBase.clear();
+    sendRequests(changeId, running, now);
 }
 
-void Proposer::ask(std::uint64_t no, Running& running, const std::string& voter) {
-    if (!linked_.count(voter)) return;  // reached() asks
-    running.asked.insert(voter);
+void Proposer::sendRequest(std::uint64_t changeId, RunningChange& running, const std::string& voter) {
+    if (!linkedVoters_.count(voter)) return;  // reached() asks
+    running.requested.insert(voter);
     VoteRequest request;
     request.phase = running.accepting ? VotePhase::accept : VotePhase::prepare;
     request.name = running.change.name;
-    request.attempt = no;
+    request.attempt = changeId;
     request.ballot = running.ballot;
-    request.core = core_;
+    request.voterSet = voterSet_;
     if (running.accepting) {
         // Who holds what the value was made from is told what changed, where that is shorter. So is one whose
         // promise has not come yet: it most likely does, and says so where not.
-        const auto promiser = running.promisers.find(voter);
-        const bool holdsBase = promiser == running.promisers.end() || promiser->second == running.best;
-        request.base = running.best;
-        if (holdsBase && !running.patch.is_null() && !running.lacksBase.count(voter))
+        const auto promise = running.promises.find(voter);
+        const bool mayHoldBase =
+            promise == running.promises.end() || promise->second == running.highestAccepted;
+        request.patchBase = running.highestAccepted;
+        if (mayHoldBase && !running.patch.is_null() && !running.lacksPatchBase.count(voter))
             request.patch = running.patch;
         else
-            request.value = running.value;
+            request.value = running.newValue;
     } else {
-        request.held = held_(running.change.name).accepted;
+        request.knownAccepted = localSlot_(running.change.name).accepted;
     }
-    said_.push_back({voter, request.toJson()});
+    requests_.push_back({voter, request.toJson()});
 }
 
 // The present phase's question, to all who have not answered it and to whom it does not stand.
-void Proposer::askAll(std::uint64_t no, Running& running, Nanos now) {
+void Proposer::sendRequests(std::uint64_t changeId, RunningChange& running, Nanos now) {
     running.sentAt = now;
-    for (const std::string& voter : core_.voters)
-        if (!running.answered.count(voter) && !running.asked.count(voter)) ask(no, running, voter);
+    for (const std::string& voter : voterSet_.voters)
+        if (!running.replies.count(voter) && !running.requested.count(voter))
+            sendRequest(changeId, running, voter);
 }
 
-void Proposer::reached(const std::string& voter) {
-    linked_.insert(voter);
-    if (!core_.voters.count(voter)) return;
-    for (auto& [no, running] : running_)
-        if (!running.paused && !running.answered.count(voter)) ask(no, running, voter);
+void Proposer::linkUp(const std::string& voter) {
+    linkedVoters_.insert(voter);
+    if (!voterSet_.voters.count(voter)) return;
+    for (auto& [changeId, running] : runningChanges_)
+        if (!running.backingOff && !running.replies.count(voter)) sendRequest(changeId, running, voter);
 }
 
-void Proposer::lost(const std::string& voter) {
-    linked_.erase(voter);
+void Proposer::linkDown(const std::string& voter) {
+    linkedVoters_.erase(voter);
 }
 
-void Proposer::heard(const std::string& from, const Json& answer, Nanos now) {
+void Proposer::handleReply(const std::string& from, const Json& answer, Nanos now) {
     const VoteReply reply = VoteReply::fromJson(answer);
-    const auto found = running_.find(reply.attempt);
-    if (found == running_.end() || !core_.voters.count(from)) return;
-    const std::uint64_t no = found->first;
-    Running& running = found->second;
-    if (now >= running.until) return;  // tick() ends it
-    if (reply.kind == VoteKind::refused) return refused(running, reply.ballot, now);
-    if (running.paused || reply.ballot != running.ballot) return;
+    const auto found = runningChanges_.find(reply.attempt);
+    if (found == runningChanges_.end() || !voterSet_.voters.count(from)) return;
+    const std::uint64_t changeId = found->first;
+    RunningChange& running = found->second;
+    if (now >= running.deadline) return;  // tick() ends it
+    if (reply.kind == VoteKind::refused) return handleRefusal(running, reply.ballot, now);
+    if (running.backingOff || reply.ballot != running.ballot) return;
     switch (reply.kind) {
         case VoteKind::promised:
-            if (!running.accepting) promised(no, running, from, reply, now);
+            if (!running.accepting) handlePromise(changeId, running, from, reply, now);
             return;
         case VoteKind::accepted:
             if (!running.accepting) return;
-            running.answered[from] = {};
-            return proceed(no, running, now);
-        case VoteKind::needsWhole:
+            running.replies[from] = {};
+            return advance(changeId, running, now);
+        case VoteKind::needsFullValue:
             if (!running.accepting) return;
-            running.lacksBase.insert(from);
-            return ask(no, running, from);
+            running.lacksPatchBase.insert(from);
+            return sendRequest(changeId, running, from);
         case VoteKind::abstains:
-            running.asked.erase(from);
+            running.requested.erase(from);
             return;
         case VoteKind::refused:
             return;
@@ -182,99 +184,100 @@
 
 // The voter has promised another ballot: the next try is above it. (Its own ballot comes back from a voter
 // that has accepted another value under it; a further round mends that.)
-void Proposer::refused(Running& running, const Ballot& promised, Nanos now) {
+void Proposer::handleRefusal(RunningChange& running, const Ballot& promised, Nanos now) {
     highestRound_ = std::max(highestRound_, promised.round);
-    if (running.paused || promised < running.ballot) return;
+    if (running.backingOff || promised < running.ballot) return;
     // Two at once: the pause grows with how long a round takes here, and by a part that their names make
     // differ, so that one of them gets through.
-    running.paused = true;
-    running.clashes = std::min(running.clashes + 1, 6);
+    running.backingOff = true;
+    running.conflicts = std::min(running.conflicts + 1, 6);
     const Nanos round = std::min(now - running.sentAt, millis(200)) + millis(4);
-    const std::string chance = self_.member + std::to_string(running.ballot.round);
-    const auto part = static_cast<Nanos>(std::hash<std::string>()(chance) % 64);
-    running.resumeAt = now + round * running.clashes * (32 + part) / 32;
+    const std::string seed = self_.member + std::to_string(running.ballot.round);
+    const auto jitter = static_cast<Nanos>(std::hash<std::string>()(seed) % 64);
+    running.resumeAt = now + round * running.conflicts * (32 + jitter) / 32;
 }
 
-void Proposer::promised(std::uint64_t no, Running& running, const std::string& from, const VoteReply& reply,
-                        Nanos now) {
-    if (running.best < reply.accepted) {
-        const Slot& own = held_(running.change.name);
+void Proposer::handlePromise(std::uint64_t changeId, RunningChange& running, const std::string& from,
+                             const VoteReply& reply, Nanos now) {
+    if (running.highestAccepted < reply.accepted) {
+        const Slot& own = localSlot_(running.change.name);
         // What it does not send is what this member held when it asked.
-        if (!reply.value && own.accepted != reply.accepted) return ask(no, running, from);
-        running.was = reply.value ? *reply.value : own.value;
-        running.best = reply.accepted;
+        if (!reply.value && own.accepted != reply.accepted) return sendRequest(changeId, running, from);
+        running.currentValue = reply.value ? *reply.value : own.value;
+        running.highestAccepted = reply.accepted;
     }
-    running.answered[from] = {reply.accepted, reply.learned};
-    proceed(no, running, now);
+    running.replies[from] = {reply.accepted, reply.learned};
+    advance(changeId, running, now);
 }
 
 // What a majority has accepted under one ballot is chosen: nothing need be written to read it.
-bool Proposer::chosenAlready(const Running& running) const {
-    const auto same = std::count_if(running.answered.begin(), running.answered.end(), [&](const auto& each) {
-        return each.second.accepted == running.best && !each.second.learned;
-    });
-    return static_cast<std::size_t>(same) >= core_.majority();
+bool Proposer::isAlreadyChosen(const RunningChange& running) const {
+    const auto supporters =
+        std::count_if(running.replies.begin(), running.replies.end(), [&](const auto& each) {
+            return each.second.accepted == running.highestAccepted && !each.second.learned;
+        });
+    return static_cast<std::size_t>(supporters) >= voterSet_.majority();
 }
 
-void Proposer::proceed(std::uint64_t no, Running& running, Nanos now) {
-    if (running.answered.size() < core_.majority()) return;
-    if (running.accepting) return end(no, running.value);
-    Json value = running.change.change(running.was);
-    if (!running.change.anew && value == running.was && chosenAlready(running))
-        return end(no, std::move(value));
-    running.value = std::move(value);
+void Proposer::advance(std::uint64_t changeId, RunningChange& running, Nanos now) {
+    if (running.replies.size() < voterSet_.majority()) return;
+    if (running.accepting) return finish(changeId, running.newValue);
+    Json value = running.change.apply(running.currentValue);
+    if (!running.change.forceAccept && value == running.currentValue && isAlreadyChosen(running))
+        return finish(changeId, std::move(value));
+    running.newValue = std::move(value);
     running.accepting = true;
-    for (const auto& [voter, answer] : running.answered) running.promisers[voter] = answer.accepted;
-    running.answered.clear();
-    running.asked.clear();
-    running.patch = board::shorter(running.was, running.value);
-    askAll(no, running, now);
+    for (const auto& [voter, answer] : running.replies) running.promises[voter] = answer.accepted;
+    running.replies.clear();
+    running.requested.clear();
+    running.patch = board::shorter(running.currentValue, running.newValue);
+    sendRequests(changeId, running, now);
 }
 
-void Proposer::core(Core core, Nanos now) {
-    if (core.epoch <= core_.epoch) return;
-    core_ = std::move(core);
-    for (auto& [no, running] : running_) prepare(no, running, now);
+void Proposer::setVoters(VoterSet voterSet, Nanos now) {
+    if (voterSet.epoch <= voterSet_.epoch) return;
+    voterSet_ = std::move(voterSet);
+    for (auto& [changeId, running] : runningChanges_) prepare(changeId, running, now);
 }
 
-void Proposer::forgets(const std::string& voter, Nanos now) {
-    for (auto& [no, running] : running_) {
-        if (running.paused) continue;
+void Proposer::handleDiskLoss(const std::string& voter, Nanos now) {
+    for (auto& [changeId, running] : runningChanges_) {
+        if (running.backingOff) continue;
         // A promise that its disk has forgotten binds nobody: the ballot is given up.
-        if (running.promisers.count(voter))
-            prepare(no, running, now);
-        else if (running.answered.erase(voter))
-            ask(no, running, voter);
+        if (running.promises.count(voter))
+            prepare(changeId, running, now);
+        else if (running.replies.erase(voter))
+            sendRequest(changeId, running, voter);
     }
 }
 
 void Proposer::tick(Nanos now) {
-    std::vector<std::uint64_t> over;
-    for (auto& [no, running] : running_) {
-        if (now >= running.until)
-            over.push_back(no);
-        else if (running.paused && now >= running.resumeAt)
-            prepare(no, running, now);
-        else if (!running.paused && now - running.sentAt >= again)
-            askAll(no, running, now);
+    std::vector<std::uint64_t> expired;
+    for (auto& [changeId, running] : runningChanges_) {
+        if (now >= running.deadline)
+            expired.push_back(changeId);
+        else if (running.backingOff && now >= running.resumeAt)
+            prepare(changeId, running, now);
+        else if (!running.backingOff && now - running.sentAt >= abstentionRetryInterval)
+            sendRequests(changeId, running, now);
     }
-    for (const std::uint64_t no : over) {
-        const Running& running = running_.at(no);
+    for (const std::uint64_t changeId : expired) {
+        const RunningChange& running = runningChanges_.at(changeId);
         std::string text =
             running.change.name + ": no majority; " + (running.accepting ? "accepted by" : "promised by");
-        for (const auto& [voter, held] : running.answered) text += " " + voter;
+        for (const auto& [voter, reply] : running.replies) text += " " + voter;
         text += " of";
-        for (const std::string& voter : core_.voters) text += " " + voter;
-        if (running.paused) text += ", clashing at round " + std::to_string(highestRound_);
+        for (const std::string& voter : voterSet_.voters) text += " " + voter;
+        if (running.backingOff) text += ", clashing at round " + std::to_string(highestRound_);
         failures_.push_back(std::move(text));
-        end(no, std::nullopt);
+        finish(changeId, std::nullopt);
     }
 }
 
-void Proposer::end(std::uint64_t no, std::optional<Json> value) {
-    const auto found = running_.find(no);
+void Proposer::finish(std::uint64_t changeId, std::optional<Json> value) {
+    const auto found = runningChanges_.find(changeId);
     auto done = std::move(found->second.change.done);
-    running_.erase(found);
+    runningChanges_.erase(found);
     done(std::move(value));
 }
 
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -28,10 +28,10 @@
     bool learned = false;
 };
 
-Json written(const Slot& slot);
+Json slotToJson(const Slot& slot);
 // Reads what `written` made, and slots of the earlier format, whose ballots carry no life. Throws
 // nlohmann::json::exception.
-Slot readSlot(const Json& text);
+Slot slotFromJson(const Json& json);
 
 // A voter's part in promising and accepting. What it answers must not leave before the slot is on disk.
 class Acceptor {
@@ -44,11 +44,11 @@
 
     void load(const std::string& name, Slot slot) { slots_[name] = std::move(slot); }
     // The request's epoch is not looked at.
-    Outcome answer(const VoteRequest& request);
-    const Slot& at(const std::string& name) { return slots_[name]; }
-    const std::map<std::string, Slot>& all() const { return slots_; }
+    Outcome handle(const VoteRequest& request);
+    const Slot& slot(const std::string& name) { return slots_[name]; }
+    const std::map<std::string, Slot>& slots() const { return slots_; }
     // Takes over what another voter holds, where that is more; says whether anything changed.
-    bool merge(const std::string& name, const Slot& other);
+    bool mergeRecovered(const std::string& name, const Slot& other);
 
 private:
     Outcome promise(Slot& slot, const VoteRequest& request);
@@ -59,85 +59,86 @@
 
 // A change under way. `change` is given the value as it was (null: none) and returns it as it shall be; it
 // may be called more than once, and gives back the same to change nothing.
-struct Change {
+struct RegisterChange {
     std::string name;
-    std::function<Json(const Json&)> change;
+    std::function<Json(const Json&)> apply;
     // The value that now stands, or none if no majority could be had in time: then it may stand or not.
     std::function<void(std::optional<Json>)> done;
     // Has it accepted again by a majority even where it stands unchanged.
-    bool anew = false;
+    bool forceAccept = false;
 };
 
 // The proposers of one member: what is to be said to which members, and what came of it.
 class Proposer {
 public:
-    struct Said {
+    struct OutgoingRequest {
         std::string to;
         Json message;  // a VoteRequest
     };
     // `held`: what this member's own acceptor holds of a register.
-    using Held = std::function<const Slot&(const std::string& name)>;
-    Proposer(ProposerId self, Held held)
-        : self_(std::move(self)), held_(std::move(held)), linked_{self_.member} {}
+    using LocalSlot = std::function<const Slot&(const std::string& name)>;
+    Proposer(ProposerId self, LocalSlot localSlot)
+        : self_(std::move(self)), localSlot_(std::move(localSlot)), linkedVoters_{self_.member} {}
 
     // What is under way begins anew with the voters of a later epoch.
-    void core(Core core, Nanos now);
-    const Core& core() const { return core_; }
+    void setVoters(VoterSet voterSet, Nanos now);
+    const VoterSet& voterSet() const { return voterSet_; }
     // A member that has lost its disk answers anew under another incarnation: what it said before counts no
     // more.
-    void forgets(const std::string& voter, Nanos now);
+    void handleDiskLoss(const std::string& voter, Nanos now);
 
-    void begin(Change change, Nanos now, Nanos until);
+    void begin(RegisterChange change, Nanos now, Nanos deadline);
     // A link to this voter is there anew: what it has not answered is asked again. Nothing is said to a voter
     // before; of this member itself it need not be told.
-    void reached(const std::string& voter);
+    void linkUp(const std::string& voter);
     // There is no link to this voter any more.
-    void lost(const std::string& voter);
+    void linkDown(const std::string& voter);
     // A VoteReply to a request of this proposer. What comes behind a change's deadline counts no more, also
     // where this process was frozen and has not ticked since.
-    void heard(const std::string& from, const Json& answer, Nanos now);
+    void handleReply(const std::string& from, const Json& answer, Nanos now);
     void tick(Nanos now);
     // Whether no change is under way.
-    bool idle() const { return running_.empty(); }
-    std::vector<Said> takeSaid() { return std::exchange(said_, {}); }
+    bool idle() const { return runningChanges_.empty(); }
+    std::vector<OutgoingRequest> takeRequests() { return std::exchange(requests_, {}); }
     // What the changes that ended without a majority were short of, for the log.
     std::vector<std::string> takeFailures() { return std::exchange(failures_, {}); }
     // Links carry what is sent or end, so only a voter that abstained is asked again, after this.
-    static constexpr Nanos again = millis(400);
+    static constexpr Nanos abstentionRetryInterval = millis(400);
 
 private:
-    struct Answer {
+    struct PhaseReply {
         Ballot accepted;
         bool learned = false;
     };
-    struct Running {
-        Change change;
-        Nanos until = 0, sentAt = 0, resumeAt = 0;
-        Ballot ballot, best;
-        Json was, value, patch;
-        bool accepting = false, paused = false;
-        std::map<std::string, Answer> answered;   // in the present phase
-        std::map<std::string, Ballot> promisers;  // while accepting: who promised, with what it had accepted
-        std::set<std::string> asked, lacksBase;   // asked: the phase's question stands on a living link
-        int clashes = 0;
+    struct RunningChange {
+        RegisterChange change;
+        Nanos deadline = 0, sentAt = 0, resumeAt = 0;
+        Ballot ballot, highestAccepted;
+        Json currentValue, newValue, patch;
+        bool accepting = false, backingOff = false;
+        std::map<std::string, PhaseReply> replies;  // in the present phase
+        std::map<std::string, Ballot> promises;  // while accepting: who promised, with what it had accepted
+        std::set<std::string> requested,
+            lacksPatchBase;  // asked: the phase's question stands on a living link
+        int conflicts = 0;
     };
-    void prepare(std::uint64_t no, Running& running, Nanos now);
-    void ask(std::uint64_t no, Running& running, const std::string& voter);
-    void askAll(std::uint64_t no, Running& running, Nanos now);
-    void refused(Running& running, const Ballot& promised, Nanos now);
-    void promised(std::uint64_t no, Running& running, const std::string& from, const VoteReply& reply,
-                  Nanos now);
-    void proceed(std::uint64_t no, Running& running, Nanos now);
-    bool chosenAlready(const Running& running) const;
-    void end(std::uint64_t no, std::optional<Json> value);
+    void prepare(std::uint64_t changeId, RunningChange& running, Nanos now);
+    void sendRequest(std::uint64_t changeId, RunningChange& running, const std::string& voter);
+    void sendRequests(std::uint64_t changeId, RunningChange& running, Nanos now);
+    void handleRefusal(RunningChange& running, const Ballot& promised, Nanos now);
+    void handlePromise(std::uint64_t changeId, RunningChange& running, const std::string& from,
+                       const VoteReply& reply, Nanos now);
+    void advance(std::uint64_t changeId, RunningChange& running, Nanos now);
+    bool isAlreadyChosen(const RunningChange& running) const;
+    void finish(std::uint64_t changeId, std::optional<Json> value);
 
     ProposerId self_;
-    Held held_;
-    Core core_;
-    std::set<std::string> linked_;
-    std::map<std::uint64_t, Running> running_;
-    std::uint64_t nextNo_ = 1, highestRound_ = 0;
-    std::vector<Said> said_;
+    LocalSlot localSlot_;
+    VoterSet voterSet_;
+    std::set<std::string> linkedVoters_;
+    std::map<std::uint64_t, RunningChange> runningChanges_;
+    std::uint64_t nextChangeId_ = 1, highestRound_ = 0;
+    std::vector<OutgoingRequest> requests_;
     std::vector<std::string> failures_;
 };
 
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -163,10 +163,10 @@
         means_.putRecord(name, {{major, said.number}, body});
     } else if (said.standing != windingDown) {
         // Said again, or overtaken: nothing hangs on who holds it.
-        return means_.answerStore(call, Kind::taken);
+        return means_.answerStore(call, CallOutcome::accepted);
     } else if (!leaving(*known)) {
         // Overtaken, or of a new life that can't be told yet: it says again that it leaves.
-        return means_.answerStore(call, Kind::unready);
+        return means_.answerStore(call, CallOutcome::notReady);
     }
     confirm({call, said, name, *means_.board().find(name), {}, until, now}, now);
 }
@@ -183,7 +183,7 @@
 void StoreRegistry::confirm(Pending pending, Nanos now) {
     const auto seen = confirmed_.find(pending.name);
     if (seen != confirmed_.end() && seen->second == pending.record.version)
-        return means_.answerStore(pending.call, Kind::taken);
+        return means_.answerStore(pending.call, CallOutcome::accepted);
     if (remembers(now)) pending.holders.insert(self_);
     const std::uint64_t number = nextNumber_++;
     Pending& stands = pending_[number] = std::move(pending);
@@ -194,21 +194,21 @@
 void StoreRegistry::ask(std::uint64_t number, Pending& pending, Nanos now) {
     pending.askedAt = now;
     const Json message = StoreRecordReplicate{life_, number, pending.name, pending.record}.toJson();
-    for (const std::string& voter : means_.core().voters)
+    for (const std::string& voter : means_.voterSet().voters)
         if (voter != self_ && !pending.holders.count(voter)) means_.sendTo(voter, message);
 }
 
 // Answers the store where a majority of the present voters holds its record.
 bool StoreRegistry::settle(std::uint64_t number) {
     const Pending& pending = pending_.at(number);
-    const Core& core = means_.core();
+    const VoterSet& voterSet = means_.voterSet();
     const auto count =
         std::count_if(pending.holders.begin(), pending.holders.end(),
-                      [&](const std::string& holder) { return core.voters.count(holder) > 0; });
-    if (!core.epoch || static_cast<std::size_t>(count) < core.majority()) return false;
+                      [&](const std::string& holder) { return voterSet.voters.count(holder) > 0; });
+    if (!voterSet.epoch || static_cast<std::size_t>(count) < voterSet.majority()) return false;
     // That no store is known is true for the moment of asking only.
     if (pending.record.version != board::Version()) confirmed_[pending.name] = pending.record.version;
-    means_.answerStore(pending.call, Kind::taken);
+    means_.answerStore(pending.call, CallOutcome::accepted);
     pending_.erase(number);
     return true;
 }
@@ -216,13 +216,13 @@
 // A member that started has forgotten what it held: it counts as a holder only once it has the boards of
 // those that may hold it.
 bool StoreRegistry::remembers(Nanos now) const {
-    const Core& core = means_.core();
-    if (!core.epoch) return false;
+    const VoterSet& voterSet = means_.voterSet();
+    if (!voterSet.epoch) return false;
     std::size_t heard = 0;
-    for (const std::string& voter : boardsHeard_) heard += voter != self_ && core.voters.count(voter);
-    const std::size_t others = core.voters.size() - core.voters.count(self_);
-    if (heard >= std::min(core.majority(), others)) return true;
-    return heard + 1 >= core.majority() && now - startedAt_ >= boardsWithin;
+    for (const std::string& voter : boardsHeard_) heard += voter != self_ && voterSet.voters.count(voter);
+    const std::size_t others = voterSet.voters.size() - voterSet.voters.count(self_);
+    if (heard >= std::min(voterSet.majority(), others)) return true;
+    return heard + 1 >= voterSet.majority() && now - startedAt_ >= boardsWithin;
 }
 
 std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanos now) {
@@ -302,7 +302,7 @@
     for (const std::uint64_t number : over) {
         const std::uint64_t call = pending_.at(number).call;
         pending_.erase(number);
-        means_.answerStore(call, Kind::noMajority);
+        means_.answerStore(call, CallOutcome::noMajority);
     }
 }
 
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -63,8 +63,8 @@
         // Whether this record was missed for so long that it may be gone elsewhere (board::Gossip).
         virtual bool unconfirmed(const std::string& name) const = 0;
         virtual void sendTo(const std::string& voter, Json message) = 0;
-        virtual const Core& core() const = 0;
-        virtual void answerStore(std::uint64_t call, Kind kind) = 0;
+        virtual const VoterSet& voterSet() const = 0;
+        virtual void answerStore(std::uint64_t call, CallOutcome kind) = 0;
     };
     // `life`: differs from that of every other process whose answers could come in.
     StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means, Nanos now);
--- a/src/control/succession.cpp
+++ b/src/control/succession.cpp
@@ -133,7 +133,7 @@
     const std::uint64_t no = means_.nextAsk(*this);
     asks_[no] = Ask{store, what, now};
     const int within_ms = phase_ == Phase::checking ? checkWithin_ms : statementWithin_ms;
-    const Nanos notAfter = changes ? confirmedAt_.value_or(0) + confirmedFor() : anyTime;
+    const Nanos notAfter = changes ? confirmedAt_.value_or(0) + confirmedFor() : noDeadline;
     means_.outputs().push_back(
         ToStore{no, store, service_, body->value("address", ""), text, within_ms, notAfter});
 }
--- a/src/control/vote.cpp
+++ b/src/control/vote.cpp
@@ -7,11 +7,12 @@
 namespace granitereel::control {
 
 namespace {
-constexpr std::array<std::pair<const char*, VoteKind>, 5> replyKinds{{{"promised", VoteKind::promised},
-                                                                      {"accepted", VoteKind::accepted},
-                                                                      {"refused", VoteKind::refused},
-                                                                      {"needs_whole", VoteKind::needsWhole},
-                                                                      {"abstains", VoteKind::abstains}}};
+constexpr std::array<std::pair<const char*, VoteKind>, 5> replyKinds{
+    {{"promised", VoteKind::promised},
+     {"accepted", VoteKind::accepted},
+     {"refused", VoteKind::refused},
+     {"needs_whole", VoteKind::needsFullValue},
+     {"abstains", VoteKind::abstains}}};
 
 const char* nameOf(VoteKind kind) {
     const auto found = std::find_if(replyKinds.begin(), replyKinds.end(),
@@ -34,12 +35,12 @@
                     {"name", name},
                     {"attempt", attempt},
                     {"ballot", control::toJson(ballot)},
-                    {"epoch", core.epoch},
-                    {"voters", core.voters}};
+                    {"epoch", voterSet.epoch},
+                    {"voters", voterSet.voters}};
     if (phase == VotePhase::prepare) {
-        message["held"] = control::toJson(held);
+        message["held"] = control::toJson(knownAccepted);
     } else if (patch) {
-        message["base"] = control::toJson(base);
+        message["base"] = control::toJson(patchBase);
         message["patch"] = *patch;
     } else {
         message["value"] = value;
@@ -53,11 +54,11 @@
     request.name = message.at("name");
     request.attempt = message.at("attempt");
     request.ballot = ballotFromJson(message.at("ballot"));
-    request.core = {message.at("epoch"), message.at("voters").get<std::set<std::string>>()};
+    request.voterSet = {message.at("epoch"), message.at("voters").get<std::set<std::string>>()};
     if (request.phase == VotePhase::prepare) {
-        request.held = ballotFromJson(message.at("held"));
+        request.knownAccepted = ballotFromJson(message.at("held"));
     } else if (message.contains("patch")) {
-        request.base = ballotFromJson(message.at("base"));
+        request.patchBase = ballotFromJson(message.at("base"));
         request.patch = message.at("patch");
     } else {
         request.value = message.at("value");
--- a/src/control/vote.hpp
+++ b/src/control/vote.hpp
@@ -13,7 +13,7 @@
 // Who votes, and since which change of that. A change adds or takes away one voter, so that majorities of an
 // epoch and of the next have a member in common; before a further one all registers are accepted anew
 // (ControlMember::manage).
-struct Core {
+struct VoterSet {
     std::uint64_t epoch = 0;  // 0: not known
     std::set<std::string> voters;
     std::size_t majority() const { return voters.size() / 2 + 1; }
@@ -26,11 +26,11 @@
     std::string name;           // the register
     std::uint64_t attempt = 0;  // the proposer's number for its change; comes back in the reply
     Ballot ballot;
-    Core core;  // the epoch in which it is asked, and who votes in it
+    VoterSet voterSet;  // the epoch in which it is asked, and who votes in it
     // prepare: the accepted ballot whose value the proposer holds itself, so that it need not be sent.
-    Ballot held;
+    Ballot knownAccepted;
     // accept: the whole value, or a patch (RFC 6902) of the value accepted under `base`.
-    Ballot base;
+    Ballot patchBase;
     std::optional<Json> patch;
     Json value;
 
@@ -41,9 +41,9 @@
 enum class VoteKind {
     promised,
     accepted,
-    refused,     // `ballot`: what the voter has promised
-    needsWhole,  // it does not hold what the patch is of
-    abstains,    // it has no vote at present
+    refused,         // `ballot`: what the voter has promised
+    needsFullValue,  // it does not hold what the patch is of
+    abstains,        // it has no vote at present
 };
 
 struct VoteReply {
--- a/src/control/voter_policy.hpp
+++ b/src/control/voter_policy.hpp
@@ -21,11 +21,11 @@
     std::set<std::string> unreachable;  // voters out of reach, for however short
     std::set<std::string> absent;       // of these: for longer than the short bound, or after saying so
     // Of these: for longer than the long bound, or after saying so.
-    std::set<std::string> absentForGood;
+    std::set<std::string> longAbsent;
     std::vector<std::string>
         candidates;  // members in reach without a vote, in the order in which they get one
     // Fewer voters than this are never left, but in the middle of a replacement.
-    std::size_t fewestVoters = 3;
+    std::size_t minVoters = 3;
 };
 
 struct VoterChange {
@@ -40,6 +40,6 @@
 
 // The fewest voters whose majorities bear the loss of so many machines; a core of fewer than three bears
 // none.
-std::size_t fewestVotersFor(int tolerance);
+std::size_t minVotersFor(int tolerance);
 
 }  // namespace granitereel::control
--- a/standins/control_world.hpp
+++ b/standins/control_world.hpp
@@ -32,7 +32,7 @@
         std::unique_ptr<ControlMember> control;
         int incarnation = 0;
         std::map<std::string, int> dialled;
-        std::map<std::uint64_t, std::pair<Kind, std::string>> answers;
+        std::map<std::uint64_t, std::pair<CallOutcome, std::string>> answers;
         std::map<std::uint64_t, std::string> locations;  // where callers were sent on to
         int writesLeft = 1 << 30;                        // it dies behind so many writes
         int messagesLeft = 1 << 30;                      // it dies behind so many messages sent
@@ -96,7 +96,7 @@
     void start(const std::string& name) {
         Member& m = members[name];
         if (!m.disk.count("incarnation")) m.disk["incarnation"] = std::to_string(++m.incarnation);
-        m.disk[lifeKey] = nextLife(m.disk);
+        m.disk[processIncarnationKey] = nextProcessIncarnation(m.disk);
         m.control = std::make_unique<ControlMember>(m.settings, m.disk["incarnation"], m.disk, now);
         ++lives[name];
         carry(name);
@@ -185,9 +185,9 @@
         Member& m = members[name];
         for (Output& each : outputs) {
             if (auto* disk = std::get_if<ToDisk>(&each)) {
-                m.unsynced.push_back({m.gate.written(now), disk->name, std::move(disk->body)});
+                m.unsynced.push_back({m.gate.recordWrite(now), disk->name, std::move(disk->body)});
                 ++m.writes;
-            } else if (!m.gate.holds(each)) {
+            } else if (!m.gate.hold(each)) {
                 release(name, each);
                 if (!m.control) return;
             }
@@ -214,7 +214,7 @@
             ticket = write.ticket;
             m.unsynced.erase(m.unsynced.begin());
         }
-        Outputs released = m.gate.durable(ticket);
+        Outputs released = m.gate.release(ticket);
         for (Output& each : released) {
             release(name, each);
             if (!m.control) return false;
@@ -224,7 +224,7 @@
     void release(const std::string& name, Output& each) {
         Member& m = members[name];
         if (auto* self = std::get_if<ToSelf>(&each)) {
-            m.control->voteStored(self->reply, now);
+            m.control->handleDurableVote(self->reply, now);
         } else if (auto* out = std::get_if<ToLink>(&each)) {
             const auto wire = wires.find(out->link);
             if (wire == wires.end()) return;
@@ -238,7 +238,7 @@
             for (const Packet& p : packets)
                 if (p.linkTo == link) packets.back().at = std::max(packets.back().at, p.at + 1);
         } else if (auto* answer = std::get_if<ToCaller>(&each)) {
-            m.answers[answer->call] = {answer->kind, answer->body};
+            m.answers[answer->call] = {answer->outcome, answer->body};
             m.locations[answer->call] = answer->location;
         } else if (auto* log = std::get_if<ToLog>(&each)) {
             m.log.push_back(log->line);
@@ -248,7 +248,8 @@
     }
     DiskHealth diskOf(const Member& m) const {
         if (m.refuses && !m.unsynced.empty()) return DiskHealth::refuses;
-        return now - m.gate.waitingSince(now) >= slowDiskAfter ? DiskHealth::slow : DiskHealth::ok;
+        return now - m.gate.oldestPendingWriteAt(now) >= slowSyncThreshold ? DiskHealth::slow
+                                                                           : DiskHealth::ok;
     }
     bool stalls(const Packet& packet) {
         return stalled.count(packet.linkTo) || frozen.count(packet.to) || !reach(packet.from, packet.to);
@@ -295,7 +296,7 @@
                 stalled[p.linkTo].packets.push_back(p);
                 continue;
             }
-            to.control->heard(p.linkTo, p.message, now);
+            to.control->handleMessage(p.linkTo, p.message, now);
             carry(p.to);
         }
         for (auto& [name, m] : members)
@@ -303,7 +304,7 @@
         if (now / millis(1) % 50) return;
         for (auto& [name, m] : members) {
             if (!m.control || frozen.count(name)) continue;
-            for (const std::string& to : m.control->toDial()) {
+            for (const std::string& to : m.control->membersToDial()) {
                 const auto other = members.find(to);
                 if (other != members.end() && other->second.control && !m.dialled[to] && reach(name, to) &&
                     reach(to, name) && !frozen.count(to))
@@ -311,7 +312,7 @@
                 if (!m.control) break;
             }
             if (!m.control) continue;
-            m.control->diskSeen(diskOf(m), now);
+            m.control->updateDiskHealth(diskOf(m), now);
             m.control->tick(now);
             carry(name);
         }
@@ -321,27 +322,27 @@
     }
     std::uint64_t put(const std::string& at, std::uint64_t edition, const std::string& mark) {
         const std::uint64_t call = ++lastCall;
-        members[at].control->call(call, "PUT", {"config"},
-                                  Json{{"edition", edition},
-                                       {"itineraries", Json::array()},
-                                       {"depots", Json::array()},
-                                       {"mark", mark}}
-                                      .dump(),
-                                  now);
+        members[at].control->handleCall(call, "PUT", {"config"},
+                                        Json{{"edition", edition},
+                                             {"itineraries", Json::array()},
+                                             {"depots", Json::array()},
+                                             {"mark", mark}}
+                                            .dump(),
+                                        now);
         carry(at);
         return call;
     }
     std::optional<Json> get(const std::string& at) {
         const std::uint64_t call = ++lastCall;
-        members[at].control->call(call, "GET", {"config"}, "", now);
+        members[at].control->handleCall(call, "GET", {"config"}, "", now);
         carry(at);
         for (int i = 0; i < 2000 && !members[at].answers.count(call); ++i) step();
-        if (!members[at].answers.count(call) || members[at].answers[call].first != Kind::taken)
+        if (!members[at].answers.count(call) || members[at].answers[call].first != CallOutcome::accepted)
             return std::nullopt;
         return Json::parse(members[at].answers[call].second);
     }
     bool taken(const std::string& at, std::uint64_t call) {
-        return members[at].answers.count(call) && members[at].answers[call].first == Kind::taken;
+        return members[at].answers.count(call) && members[at].answers[call].first == CallOutcome::accepted;
     }
 };
 
--- a/standins/faulty_disk.cpp
+++ b/standins/faulty_disk.cpp
@@ -123,7 +123,7 @@
         const auto now = live == names_.end() ? nullptr : live->second;
         const auto before = synced == syncedNames_.end() ? nullptr : synced->second;
         const auto kept = now == before || chance() % 2 ? now : before;
-        if (kept && folders_.count(control::parentOf(path))) left[path] = kept;
+        if (kept && folders_.count(control::parentDirectory(path))) left[path] = kept;
     }
     std::set<Content*> torn;
     for (auto& [path, content] : left)
@@ -221,12 +221,12 @@
     if (refuses_) return refused();
     ++syncs_;
     std::erase_if(syncedNames_, [&](const auto& each) {
-        return control::parentOf(each.first) == folder && !names_.count(each.first);
+        return control::parentDirectory(each.first) == folder && !names_.count(each.first);
     });
     for (const auto& [path, content] : names_)
-        if (control::parentOf(path) == folder) syncedNames_[path] = content;
+        if (control::parentDirectory(path) == folder) syncedNames_[path] = content;
     for (const std::string& each : folders_)
-        if (control::parentOf(each) == folder) syncedFolders_.insert(each);
+        if (control::parentDirectory(each) == folder) syncedFolders_.insert(each);
     return status;
 }
 
@@ -248,7 +248,7 @@
 
 Status FaultyDisk::NewWritableFile(const std::string& path, leveldb::WritableFile** made) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!folders_.count(control::parentOf(path))) return Status::NotFound(path);
+    if (!folders_.count(control::parentDirectory(path))) return Status::NotFound(path);
     const Status status = change();
     if (!status.ok()) return status;
     if (refuses_) return refused();
@@ -272,7 +272,7 @@
     names->clear();
     if (!folders_.count(folder)) return Status::NotFound(folder);
     for (const auto& [path, content] : names_)
-        if (control::parentOf(path) == folder) names->push_back(path.substr(folder.size() + 1));
+        if (control::parentDirectory(path) == folder) names->push_back(path.substr(folder.size() + 1));
     return Status::OK();
 }
 
--- a/standins/membership_rig.hpp
+++ b/standins/membership_rig.hpp
@@ -51,7 +51,7 @@
     // SIGTERM: the process ends as soon as the member lets it.
     void leave(const std::string& name) {
         if (!members[name].control) return;
-        members[name].control->leave(now);
+        members[name].control->shutDown(now);
         leaving.insert(name);
         carry(name);
         endLeaving();
@@ -60,7 +60,7 @@
         for (auto it = leaving.begin(); it != leaving.end();) {
             const std::string name = *it;
             const Member& m = members[name];
-            if (m.control && !m.control->mayEnd()) {
+            if (m.control && !m.control->shutdownComplete()) {
                 ++it;
                 continue;
             }
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "control/succession.hpp"
 #include "board/lease.hpp"
+#include "control/succession.hpp"
 #include "proxy/lead_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "standins/databases.hpp"
@@ -32,10 +32,11 @@
         unsigned seed = 1;
         int owners = 2;
         std::optional<Nanos> postWay = {}, promoteTakes = {};  // none: at random
-        int lostInHundred = 0;           // of calls to stores and to the platform, requests and answers alike
-        bool provesByReplicas = false;   // fronts that are cut off from control ask replicas; these start and join
+        int lostInHundred = 0;  // of calls to stores and to the platform, requests and answers alike
+        bool provesByReplicas =
+            false;  // fronts that are cut off from control ask replicas; these start and join
         bool provesOnAnyConnection = false;  // broken: also on those made since the last lease
-        bool comesBackRenamed = false;   // stores that crash come back under other names
+        bool comesBackRenamed = false;       // stores that crash come back under other names
         bool startsAtAnyMoment = false;  // also between a replica's pause and the promotion that rests on it
     };
     struct Post {
@@ -390,7 +391,7 @@
         }
     }
     void leave(Owner& owner, const ToStore& ask) {
-        const auto none = [&owner, no = ask.ask] {
+        const auto none = [&owner, no = ask.requestId] {
             owner.succession->answered(no, std::nullopt, owner.clock());
         };
         if (owner.clock() >= ask.notAfter) return none();
@@ -402,12 +403,13 @@
             if (hiddenFromControl.count(ask.store)) return;
             const auto row = say(ask.store, ask.text);
             if (owner.life != life || dark.count(ask.store) || owner.storesCut || lost()) return;
-            toOwner(owner, delay(),
-                    [&owner, no = ask.ask, row] { owner.succession->answered(no, row, owner.clock()); });
+            toOwner(owner, delay(), [&owner, no = ask.requestId, row] {
+                owner.succession->answered(no, row, owner.clock());
+            });
         });
     }
     void leave(Owner& owner, const ToPlatform& post) {
-        const auto ended = [this, &owner, no = post.ask](Nanos in, PromotionAnswer answer) {
+        const auto ended = [this, &owner, no = post.requestId](Nanos in, PromotionAnswer answer) {
             toOwner(owner, in,
                     [&owner, no, answer] { owner.succession->promoted(no, answer, owner.clock()); });
         };
--- a/standins/succession_rig.hpp
+++ b/standins/succession_rig.hpp
@@ -71,7 +71,7 @@
                         told && told->starts_with("ROW "))
                         row = readRow(told->substr(4, told->find("\r\n") - 4));
                     databases.closed(line);
-                    if (answers) owner.answered(ask->ask, row, now);
+                    if (answers) owner.answered(ask->requestId, row, now);
                 } else if (auto* post = std::get_if<ToPlatform>(&each); post && !posts) {
                     heldBack.push_back(*post);
                 } else if (post) {
@@ -84,7 +84,7 @@
                     } else {
                         ++late;
                     }
-                    if (answers) owner.promoted(post->ask, answer, now);
+                    if (answers) owner.promoted(post->requestId, answer, now);
                 }
             }
         }
--- a/tests/system/ballots.cpp
+++ b/tests/system/ballots.cpp
@@ -12,7 +12,7 @@
 using World = standins::ControlWorld;
 
 const std::vector<std::string> voters{"a", "b", "c"};
-const Core core{1, {"a", "b", "c"}};
+const VoterSet voterSet{1, {"a", "b", "c"}};
 
 // One life of a proposer that has no vote and no disk of its own, before three acceptors.
 struct Life {
@@ -24,8 +24,8 @@
     Life(std::map<std::string, Acceptor>& before, std::uint64_t life)
         : acceptors(before),
           proposer({"d", "1", life}, [this](const std::string&) -> const Slot& { return none; }) {
-        for (const std::string& voter : voters) proposer.reached(voter);
-        proposer.core(core, 1);
+        for (const std::string& voter : voters) proposer.linkUp(voter);
+        proposer.setVoters(voterSet, 1);
     }
     void begin(const Json& value) {
         proposer.begin({"config", [value](const Json& was) { return was.is_null() ? value : was; },
@@ -34,11 +34,11 @@
     }
     // Delivers what is said to these voters (by bits), and their answers; the rest is lost.
     void deliver(std::bitset<3> to, Nanos now = millis(1)) {
-        for (const Proposer::Said& said : proposer.takeSaid()) {
+        for (const Proposer::OutgoingRequest& said : proposer.takeRequests()) {
             const auto place = std::find(voters.begin(), voters.end(), said.to) - voters.begin();
             if (!to[static_cast<std::size_t>(place)]) continue;
-            const auto outcome = acceptors[said.to].answer(VoteRequest::fromJson(said.message));
-            proposer.heard(said.to, outcome.reply.toJson(), now);
+            const auto outcome = acceptors[said.to].handle(VoteRequest::fromJson(said.message));
+            proposer.handleReply(said.to, outcome.reply.toJson(), now);
         }
     }
     // A refused attempt is made again, above.
@@ -103,11 +103,11 @@
 }
 
 TEST(Ballots, OfASlotOfTheEarlierFormatAreReadAndStandBelowNewOnes) {
-    const Slot slot = readSlot({{"pr", 5}, {"pb", "a"}, {"ar", 4}, {"ab", "b"}, {"v", {{"edition", 3}}}});
+    const Slot slot = slotFromJson({{"pr", 5}, {"pb", "a"}, {"ar", 4}, {"ab", "b"}, {"v", {{"edition", 3}}}});
     EXPECT_EQ(slot.promised, (Ballot{5, {"a", "", 0}}));
     EXPECT_EQ(slot.accepted, (Ballot{4, {"b", "", 0}}));
     EXPECT_LT(slot.promised, (Ballot{5, {"a", "1", 1}}));
-    const Slot again = readSlot(written(slot));
+    const Slot again = slotFromJson(slotToJson(slot));
     EXPECT_EQ(again.promised, slot.promised);
     EXPECT_EQ(again.accepted, slot.accepted);
     EXPECT_EQ(again.value, slot.value);
@@ -126,22 +126,22 @@
 TEST(Ballots, HaveOneValueAtAnAcceptor) {
     Acceptor acceptor;
     const Ballot ballot{1, {"d", "1", 1}};
-    EXPECT_EQ(acceptor.answer(acceptRequest(ballot, "one")).reply.kind, VoteKind::accepted);
-    const auto same = acceptor.answer(acceptRequest(ballot, "one"));
+    EXPECT_EQ(acceptor.handle(acceptRequest(ballot, "one")).reply.kind, VoteKind::accepted);
+    const auto same = acceptor.handle(acceptRequest(ballot, "one"));
     EXPECT_EQ(same.reply.kind, VoteKind::accepted);
     EXPECT_FALSE(same.changed);
-    const auto other = acceptor.answer(acceptRequest(ballot, "two"));
+    const auto other = acceptor.handle(acceptRequest(ballot, "two"));
     EXPECT_EQ(other.reply.kind, VoteKind::refused);
     EXPECT_TRUE(other.conflict);
     EXPECT_FALSE(other.changed);
-    EXPECT_EQ(acceptor.at("config").value, "one");
+    EXPECT_EQ(acceptor.slot("config").value, "one");
     // A proposer so refused does not wait for its deadline, but goes on above.
     std::map<std::string, Acceptor> acceptors{{"a", acceptor}};
     Life life(acceptors, 1);
     life.begin("two");
     life.deliver(0b110);
     life.deliver(0b001);
-    EXPECT_EQ(acceptors["a"].at("config").value, "one");
+    EXPECT_EQ(acceptors["a"].slot("config").value, "one");
     life.settle(0b011);
     EXPECT_TRUE(life.ended);
 }
@@ -154,17 +154,17 @@
     earlier.begin("early");
     earlier.deliver(0b011);
     earlier.deliver(0b010);
-    later.proposer.heard("a", Json{{"k", "refused"}, {"attempt", 1}, {"ballot", toJson({})}}, 1);
+    later.proposer.handleReply("a", Json{{"k", "refused"}, {"attempt", 1}, {"ballot", toJson({})}}, 1);
     later.begin("late");
     later.deliver(0b101);
-    const std::vector<Proposer::Said> delayed = later.proposer.takeSaid();
+    const std::vector<Proposer::OutgoingRequest> delayed = later.proposer.takeRequests();
     Acceptor recovered;
-    for (const char* voter : {"b", "c"}) recovered.merge("config", acceptors[voter].at("config"));
+    for (const char* voter : {"b", "c"}) recovered.mergeRecovered("config", acceptors[voter].slot("config"));
     acceptors["a"] = recovered;
     reader.begin(nullptr);
     reader.settle(0b011);
-    for (const Proposer::Said& said : delayed)
-        if (said.to == "c") acceptors["c"].answer(VoteRequest::fromJson(said.message));
+    for (const Proposer::OutgoingRequest& said : delayed)
+        if (said.to == "c") acceptors["c"].handle(VoteRequest::fromJson(said.message));
     next.begin(nullptr);
     next.settle(0b101);
     ASSERT_TRUE(reader.ended && next.ended);
@@ -177,13 +177,13 @@
     Life life(acceptors, 1);
     life.begin("one");
     life.deliver(0b111, millis(20'000));
-    EXPECT_TRUE(life.proposer.takeSaid().empty());
+    EXPECT_TRUE(life.proposer.takeRequests().empty());
     life.proposer.tick(millis(20'000));
     EXPECT_FALSE(life.ended);
 }
 
 std::size_t told(Proposer& proposer, const std::string& voter) {
-    const auto said = proposer.takeSaid();
+    const auto said = proposer.takeRequests();
     return static_cast<std::size_t>(
         std::count_if(said.begin(), said.end(), [&](const auto& each) { return each.to == voter; }));
 }
@@ -191,19 +191,19 @@
 TEST(Proposers, SayNothingTwiceOverALivingLink) {
     std::map<std::string, Acceptor> acceptors;
     Life life(acceptors, 1);
-    life.proposer.lost("c");
+    life.proposer.linkDown("c");
     life.begin("one");
     EXPECT_EQ(told(life.proposer, "c"), 0u);
     for (Nanos now = millis(50); now < millis(850); now += millis(50)) life.proposer.tick(now);
-    EXPECT_TRUE(life.proposer.takeSaid().empty());
+    EXPECT_TRUE(life.proposer.takeRequests().empty());
     // A new link is another matter; so is a voter that had no vote yet.
-    life.proposer.lost("b");
-    life.proposer.reached("b");
+    life.proposer.linkDown("b");
+    life.proposer.linkUp("b");
     EXPECT_EQ(told(life.proposer, "b"), 1u);
     VoteReply abstains;
     abstains.attempt = 1;
     abstains.ballot = {1, {"d", "1", 1}};
-    life.proposer.heard("a", abstains.toJson(), millis(860));
+    life.proposer.handleReply("a", abstains.toJson(), millis(860));
     life.proposer.tick(millis(880));
     EXPECT_EQ(told(life.proposer, "a"), 1u);
 }
@@ -222,24 +222,24 @@
                           1, millis(900));
     second.deliver(0b011);
     std::map<std::string, std::size_t> bytes;
-    for (const auto& [to, message] : second.proposer.takeSaid()) {
+    for (const auto& [to, message] : second.proposer.takeRequests()) {
         bytes[to] += message.dump().size();
-        const auto outcome = acceptors[to].answer(VoteRequest::fromJson(message));
+        const auto outcome = acceptors[to].handle(VoteRequest::fromJson(message));
         if (to == "b") continue;  // its answer is lost with the link
-        second.proposer.heard(to, outcome.reply.toJson(), millis(2));
+        second.proposer.handleReply(to, outcome.reply.toJson(), millis(2));
     }
     EXPECT_LT(bytes["a"], 500u);
     EXPECT_LT(bytes["b"], 500u);
     EXPECT_LT(bytes["c"], 500u);  // made no promise yet
     ASSERT_TRUE(second.ended);
-    EXPECT_EQ(acceptors["b"].at("config").value, big);
+    EXPECT_EQ(acceptors["b"].slot("config").value, big);
     // Asked anew, who has taken it answers so; who lacks the base says so.
-    VoteRequest patch = acceptRequest(acceptors["b"].at("config").accepted, nullptr);
-    patch.base = {1, {"e", "1", 1}};
+    VoteRequest patch = acceptRequest(acceptors["b"].slot("config").accepted, nullptr);
+    patch.patchBase = {1, {"e", "1", 1}};
     patch.patch = Json::array();
-    EXPECT_EQ(acceptors["b"].answer(patch).reply.kind, VoteKind::accepted);
+    EXPECT_EQ(acceptors["b"].handle(patch).reply.kind, VoteKind::accepted);
     patch.ballot.round += 1;
-    EXPECT_EQ(acceptors["b"].answer(patch).reply.kind, VoteKind::needsWhole);
+    EXPECT_EQ(acceptors["b"].handle(patch).reply.kind, VoteKind::needsFullValue);
 }
 
 TEST(Proposers, BeginAboveWhatTheirOwnDiskHasPromised) {
@@ -247,7 +247,7 @@
     Life life(acceptors, 2);
     life.none.promised = {7, {"d", "1", 1}};
     life.begin("one");
-    const auto said = life.proposer.takeSaid();
+    const auto said = life.proposer.takeRequests();
     ASSERT_EQ(said.size(), 3u);
     EXPECT_EQ(said[0].message.at("ballot").at("round"), 8);
 }
@@ -258,19 +258,19 @@
     Life life(acceptors, 1);
     life.begin("one");
     life.deliver(0b001);
-    life.proposer.forgets("a", millis(2));
+    life.proposer.handleDiskLoss("a", millis(2));
     EXPECT_EQ(told(life.proposer, "a"), 1u);
     life.proposer.tick(millis(2));
     VoteReply promised{VoteKind::promised, 1, {1, {"d", "1", 1}}, {}, false, Json()};
-    life.proposer.heard("b", promised.toJson(), millis(3));
-    EXPECT_TRUE(life.proposer.takeSaid().empty());  // one promise is left
-    life.proposer.heard("a", promised.toJson(), millis(4));
-    EXPECT_GT(life.proposer.takeSaid().size(), 0u);
+    life.proposer.handleReply("b", promised.toJson(), millis(3));
+    EXPECT_TRUE(life.proposer.takeRequests().empty());  // one promise is left
+    life.proposer.handleReply("a", promised.toJson(), millis(4));
+    EXPECT_GT(life.proposer.takeRequests().size(), 0u);
     // While accepting: the ballot rests on a promise that nobody keeps.
-    life.proposer.forgets("b", millis(5));
-    for (const auto& [to, message] : life.proposer.takeSaid()) EXPECT_EQ(message.at("k"), "prepare");
+    life.proposer.handleDiskLoss("b", millis(5));
+    for (const auto& [to, message] : life.proposer.takeRequests()) EXPECT_EQ(message.at("k"), "prepare");
     VoteReply accepted{VoteKind::accepted, 1, {1, {"d", "1", 1}}, {}, false, {}};
-    for (const char* voter : {"a", "b", "c"}) life.proposer.heard(voter, accepted.toJson(), millis(6));
+    for (const char* voter : {"a", "b", "c"}) life.proposer.handleReply(voter, accepted.toJson(), millis(6));
     EXPECT_FALSE(life.ended);
 }
 
@@ -289,16 +289,16 @@
                            [&](std::optional<Json> stands) { second.ended = stands; }},
                           1, millis(900));
     second.deliver(0b111);
-    for (const auto& [to, message] : second.proposer.takeSaid()) {
+    for (const auto& [to, message] : second.proposer.takeRequests()) {
         ASSERT_TRUE(message.contains("patch"));
         if (to == "c") continue;
         acceptors[to] = {};  // what it held is not what it said
-        second.proposer.heard(to, acceptors[to].answer(VoteRequest::fromJson(message)).reply.toJson(),
-                              millis(2));
+        second.proposer.handleReply(to, acceptors[to].handle(VoteRequest::fromJson(message)).reply.toJson(),
+                                    millis(2));
     }
     second.deliver(0b011, millis(3));
     ASSERT_TRUE(second.ended);
-    EXPECT_EQ(acceptors["a"].at("config").value.at("edition"), 2);
+    EXPECT_EQ(acceptors["a"].slot("config").value.at("edition"), 2);
 }
 
 TEST(Proposers, CutOffFromAVoterSendItNothing) {
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -28,7 +28,7 @@
     using ControlWorld::ControlWorld;
     std::uint64_t call(const std::string& at, const std::string& method, const std::vector<std::string>& path,
                        const std::string& body = {}) {
-        members[at].control->call(++lastCall, method, path, body, now);
+        members[at].control->handleCall(++lastCall, method, path, body, now);
         carry(at);
         return lastCall;
     }
@@ -47,7 +47,7 @@
         return call(at, "DELETE", {"stores", id});
     }
     bool answered(const std::string& at, std::uint64_t no) { return members[at].answers.count(no) > 0; }
-    Kind kind(const std::string& at, std::uint64_t no) { return members[at].answers.at(no).first; }
+    CallOutcome kind(const std::string& at, std::uint64_t no) { return members[at].answers.at(no).first; }
     // Runs until the call is answered; how long that took.
     Nanos await(const std::string& at, std::uint64_t no) {
         const Nanos from = now;
@@ -109,11 +109,11 @@
                     if (!contact) longestWithoutLease = std::max(longestWithoutLease, took);
                     ASSERT_TRUE(world.answered(b, no));
                     if (contact) return;
-                    EXPECT_TRUE(world.kind(b, no) == Kind::noMajority ||
-                                world.kind(b, no) == Kind::elsewhere);
+                    EXPECT_TRUE(world.kind(b, no) == CallOutcome::noMajority ||
+                                world.kind(b, no) == CallOutcome::redirected);
                     // Who hears the others knows one that is in contact.
                     if (!sends && hears && !restarts) {
-                        EXPECT_EQ(world.kind(b, no), Kind::elsewhere);
+                        EXPECT_EQ(world.kind(b, no), CallOutcome::redirected);
                         EXPECT_TRUE(world.members[b].locations[no].starts_with("http://10.0.0."));
                     }
                 };
@@ -127,10 +127,10 @@
                 const auto leaving = world.beat(at, id, {3, "winding_down"});
                 world.await(at, order), world.await(at, leaving);
                 if (!contact) {
-                    EXPECT_EQ(world.kind(at, order), Kind::taken) << turn;
-                    EXPECT_EQ(world.kind(at, leaving), Kind::taken) << turn;
+                    EXPECT_EQ(world.kind(at, order), CallOutcome::accepted) << turn;
+                    EXPECT_EQ(world.kind(at, leaving), CallOutcome::accepted) << turn;
                 }
-                if (world.kind(at, leaving) == Kind::taken) left.insert(id);
+                if (world.kind(at, leaving) == CallOutcome::accepted) left.insert(id);
             }
             world.heal();
             if (restarts) world.run(millis(2000)), world.kill(a), world.start(a);
@@ -144,7 +144,7 @@
             }
         }
     EXPECT_LT(longest, millis(1000));
-    EXPECT_LE(longestWithoutLease, WaitingCalls::waits + millis(50));  // and a tick
+    EXPECT_LE(longestWithoutLease, CallsAwaitingLease::maxWait + millis(50));  // and a tick
     std::printf("longest answer of a member that is cut off: %d ms, once its lease has ended %d ms\n",
                 static_cast<int>(longest / millis(1)), static_cast<int>(longestWithoutLease / millis(1)));
 }
@@ -166,7 +166,7 @@
         world.run(millis(late_ms));
         world.mute.clear();
         const auto leased = [&] { return world.members[b].control->state(world.now)["lease_left_ms"] > 0; };
-        while (!leased() && world.now - from < WaitingCalls::waits) world.step();
+        while (!leased() && world.now - from < CallsAwaitingLease::maxWait) world.step();
         ran += leased();
         world.cutOff(b, false, false);
         for (const std::uint64_t no : calls) {
@@ -196,7 +196,7 @@
                     if (lost >> (i - 1) & 1) world.mute.insert({a, World::address(i)});
                 const auto no = deletes ? world.leave(a, "i-1") : world.beat(a, "i-1", {2, "winding_down"});
                 EXPECT_LT(world.await(a, no), millis(1000));
-                const bool acknowledged = world.kind(a, no) == Kind::taken;
+                const bool acknowledged = world.kind(a, no) == CallOutcome::accepted;
                 world.kill(a);
                 world.run(millis(1500));
                 if (lost + 1 == 1 << (size - 1)) {
@@ -222,7 +222,7 @@
     world.kill(a);
     const auto again = world.beat(b, "i-1", {3, "winding_down"});
     EXPECT_LT(world.await(b, again), millis(1000));
-    EXPECT_NE(world.kind(b, again), Kind::taken);
+    EXPECT_NE(world.kind(b, again), CallOutcome::accepted);
 }
 
 // A member that is behind takes an overtaken call; one that started again has forgotten what it held.
@@ -235,7 +235,7 @@
         world.cutOff(c, false, false);
         const auto leaving = world.beat(a, "i-1", {3, "winding_down"});
         world.await(a, leaving);
-        ASSERT_EQ(world.kind(a, leaving), Kind::taken);
+        ASSERT_EQ(world.kind(a, leaving), CallOutcome::accepted);
         world.heal();
         // The board's own news of it does not reach the third; what it asks does reach the second.
         world.mute = {{a, c}, {c, a}};
@@ -247,9 +247,9 @@
         const auto late = world.beat(c, "i-1", {2, "accepting", "10.9.0.1:80", 0, "head_office"});
         world.await(c, late);
         if (forgot) {
-            EXPECT_NE(world.kind(c, late), Kind::taken);
+            EXPECT_NE(world.kind(c, late), CallOutcome::accepted);
         } else {
-            EXPECT_EQ(world.kind(c, late), Kind::taken);
+            EXPECT_EQ(world.kind(c, late), CallOutcome::accepted);
             EXPECT_EQ(world.standing(c, "i-1"), "winding_down");
             EXPECT_EQ(world.standing(b, "i-1"), "winding_down");
         }
@@ -269,7 +269,7 @@
         world.mute.clear();
         const auto no = deletes ? world.leave(c, "i-1") : world.beat(c, "i-1", {4, "winding_down"});
         world.await(c, no);
-        ASSERT_EQ(world.kind(c, no), Kind::taken);
+        ASSERT_EQ(world.kind(c, no), CallOutcome::accepted);
         world.run(millis(100));
         for (const std::string& at : {a, b, c})
             EXPECT_EQ(world.standing(at, "i-1"), deletes ? "gone" : "winding_down");
@@ -286,7 +286,7 @@
         world.run(millis(10));
         world.mute.clear();
         world.await(c, no);
-        EXPECT_EQ(world.kind(c, no), Kind::taken);
+        EXPECT_EQ(world.kind(c, no), CallOutcome::accepted);
         world.run(millis(100));
         for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "winding_down");
     }
@@ -331,7 +331,8 @@
                         if (!world.members[at].control) continue;
                         const std::uint64_t no = how(at);
                         EXPECT_LT(world.await(at, no), millis(1000)) << "seed " << seed;
-                        if (world.answered(at, no) && world.kind(at, no) == Kind::taken) return true;
+                        if (world.answered(at, no) && world.kind(at, no) == CallOutcome::accepted)
+                            return true;
                     }
                     return false;
                 };
@@ -375,10 +376,10 @@
     // The first goes to the two others, once as the board's news and once to be held.
     EXPECT_EQ(sentBy([&] { world.beat(a, "i-1", {1}); }), 4u);
     EXPECT_EQ(sentBy([&] { world.beat(a, "i-1", {2}); }), 0u);
-    EXPECT_EQ(world.kind(a, world.lastCall), Kind::taken);
+    EXPECT_EQ(world.kind(a, world.lastCall), CallOutcome::accepted);
     EXPECT_EQ(sentBy([&] { world.beat(a, "i-1", {3, "winding_down"}); }), 4u);
     EXPECT_EQ(sentBy([&] { world.beat(a, "i-1", {4, "winding_down"}); }), 0u);
-    EXPECT_EQ(world.kind(a, world.lastCall), Kind::taken);
+    EXPECT_EQ(world.kind(a, world.lastCall), CallOutcome::accepted);
 }
 
 // A store that is started again counts from 1: at another address, slow from its start, or after a silence.
@@ -417,7 +418,7 @@
             const std::string before = world.standing(b, "i-1");
             world.await(b, world.beat(b, "i-1", {1, "winding_down"}));
             EXPECT_EQ(world.standing(b, "i-1"), before);  // as one that was overtaken
-            EXPECT_EQ(world.kind(b, world.lastCall), deleted ? Kind::taken : Kind::unready);
+            EXPECT_EQ(world.kind(b, world.lastCall), deleted ? CallOutcome::accepted : CallOutcome::notReady);
             if (!cold) world.run(StoreRegistry::lateBeats * millis(1000));
             world.await(b, world.beat(b, "i-1", {2, "accepting", "10.9.0.1:80", cold ? 20'000 : 0}));
             world.await(c, world.beat(c, "i-1", {3, "winding_down"}));
@@ -435,7 +436,7 @@
     world.run(millis(500));
     const auto late = world.beat(c, "i-1", {2, "accepting", "10.9.0.1:80", 18'500});
     world.await(c, late);
-    EXPECT_EQ(world.kind(c, late), Kind::taken);
+    EXPECT_EQ(world.kind(c, late), CallOutcome::accepted);
     for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "winding_down");
 }
 
@@ -446,7 +447,7 @@
     world.now += millis(20'000);
     const auto late = world.beat(a, "i-1", {2});
     world.await(a, late);
-    EXPECT_EQ(world.kind(a, late), Kind::taken);
+    EXPECT_EQ(world.kind(a, late), CallOutcome::accepted);
     EXPECT_EQ(world.standing(a, "i-1"), "winding_down");
 }
 
@@ -471,8 +472,8 @@
                 const auto& [at, no] = calls[static_cast<std::size_t>(what)];
                 ASSERT_TRUE(world.answered(at, no));
                 const bool inForce = read->at("mark") == (what < 2 ? "X" : "Y");
-                if (world.kind(at, no) == Kind::noMajority) continue;
-                EXPECT_EQ(world.kind(at, no), inForce ? Kind::taken : Kind::conflict);
+                if (world.kind(at, no) == CallOutcome::noMajority) continue;
+                EXPECT_EQ(world.kind(at, no), inForce ? CallOutcome::accepted : CallOutcome::conflict);
             }
         }
     } while (std::next_permutation(order.begin(), order.end()));
@@ -486,26 +487,26 @@
         world.await(at, no);
         return world.kind(at, no);
     };
-    EXPECT_EQ(put(a, 10, "first"), Kind::taken);
+    EXPECT_EQ(put(a, 10, "first"), CallOutcome::accepted);
     std::uint64_t edition = 10;
     for (const std::uint64_t further : {1, 10, 60}) {
-        while (edition < 10 + further) EXPECT_EQ(put(a, ++edition, "later"), Kind::taken);
-        EXPECT_EQ(put(b, 10, "first"), Kind::taken) << further;
-        EXPECT_EQ(put(c, 10, "other"), Kind::conflict) << further;
+        while (edition < 10 + further) EXPECT_EQ(put(a, ++edition, "later"), CallOutcome::accepted);
+        EXPECT_EQ(put(b, 10, "first"), CallOutcome::accepted) << further;
+        EXPECT_EQ(put(c, 10, "other"), CallOutcome::conflict) << further;
     }
-    EXPECT_EQ(put(c, edition, "other"), Kind::conflict);
+    EXPECT_EQ(put(c, edition, "other"), CallOutcome::conflict);
     // A number that nothing is known of is acknowledged and changes nothing; it too has one body then.
-    EXPECT_EQ(put(b, 9, "older"), Kind::taken);
+    EXPECT_EQ(put(b, 9, "older"), CallOutcome::accepted);
     EXPECT_EQ(world.get(c)->at("edition"), edition);
     EXPECT_EQ(world.get(c)->at("mark"), "later");
-    EXPECT_EQ(put(a, 9, "old"), Kind::conflict);
-    EXPECT_EQ(put(a, 9, "older"), Kind::taken);
+    EXPECT_EQ(put(a, 9, "old"), CallOutcome::conflict);
+    EXPECT_EQ(put(a, 9, "older"), CallOutcome::accepted);
     // Restarted all at once, they know it still.
     for (const std::string& at : {a, b, c}) world.kill(at);
     for (const std::string& at : {a, b, c}) world.start(at);
     world.run(millis(2000));
-    EXPECT_EQ(put(b, 10, "other"), Kind::conflict);
-    EXPECT_EQ(put(b, edition, "later"), Kind::taken);
+    EXPECT_EQ(put(b, 10, "other"), CallOutcome::conflict);
+    EXPECT_EQ(put(b, edition, "later"), CallOutcome::accepted);
 }
 
 TEST(Calls, OfEightOperatorsAtOnceEndWithOneBodyANumber) {
@@ -534,7 +535,7 @@
             world.heal();
             for (const Order& each : orders) {
                 ASSERT_TRUE(world.answered(each.at, each.no)) << "seed " << seed;
-                if (world.kind(each.at, each.no) != Kind::taken) continue;
+                if (world.kind(each.at, each.no) != CallOutcome::accepted) continue;
                 taken[each.edition].insert(each.mark);
                 highest = std::max(highest, each.edition);
             }
@@ -574,7 +575,7 @@
                 Order& order = orders[static_cast<std::size_t>(i)];
                 const std::string at = World::address(order.member);
                 if (order.taken || !world.answered(at, order.no)) continue;
-                order.taken = world.kind(at, order.no) == Kind::taken;
+                order.taken = world.kind(at, order.no) == CallOutcome::accepted;
                 left -= order.taken;
                 if (!order.taken) order.member = (order.member + 1) % 9, send(i);
             }
