--- a/tests/system/disks.cpp
+++ b/tests/system/disks.cpp
@@ -59,7 +59,7 @@
         under.restart(seed);
     }
     int held() const {
-        const DiskRecords records = disk->all();
+        const DiskRecords records = disk->readAll();
         const auto found = records.find("config");
         return found == records.end() ? 0 : found->second.at("edition").get<int>();
     }
@@ -69,7 +69,7 @@
         if (disk->incarnation() == promisedAs) {
             EXPECT_GE(held(), acknowledged) << when;
         } else {
-            EXPECT_TRUE(disk->afterLoss()) << when;
+            EXPECT_TRUE(disk->stateWasLost()) << when;
         }
     }
 };
@@ -81,7 +81,7 @@
         for (int at = 0;; ++at) {
             Lives lives;
             lives.under.CreateDir("/data");
-            lives.under.backend().syncFolder("/");
+            lives.under.backend().syncDirectory("/");
             lives.under.losePowerBehind(at);
             lives.live(writes);
             if (!lives.under.lostPower()) {
@@ -106,7 +106,7 @@
             for (int second = 0;; ++second) {
                 Lives lives;
                 lives.under.CreateDir("/data");
-                lives.under.backend().syncFolder("/");
+                lives.under.backend().syncDirectory("/");
                 lives.under.losePowerBehind(first);
                 lives.live(20);
                 lives.losePower(seed + static_cast<unsigned>(first));
@@ -135,7 +135,7 @@
         for (int power = 0;; ++power) {
             Lives lives;
             lives.under.CreateDir("/data");
-            lives.under.backend().syncFolder("/");
+            lives.under.backend().syncDirectory("/");
             lives.live(6);
             lives.disk.reset();
             const auto files = lives.under.files();
@@ -179,12 +179,12 @@
         ASSERT_TRUE(lives.open());
         lives.judge(kind);
         EXPECT_NE(lives.disk->incarnation(), lives.promisedAs) << kind;
-        EXPECT_TRUE(lives.disk->afterLoss()) << kind;
+        EXPECT_TRUE(lives.disk->stateWasLost()) << kind;
         // It stays known through further restarts, and is told to the member.
         lives.disk.reset();
         ASSERT_TRUE(lives.open());
-        EXPECT_TRUE(lives.disk->afterLoss()) << kind;
-        EXPECT_TRUE(lives.disk->all().count("after_loss")) << kind;
+        EXPECT_TRUE(lives.disk->stateWasLost()) << kind;
+        EXPECT_TRUE(lives.disk->readAll().count("after_loss")) << kind;
     }
 }
 
@@ -193,12 +193,12 @@
     lives.under.CreateDir("/data");
     lives.live(2);
     lives.disk.reset();
-    DurableEnv env(lives.under, lives.under.backend().syncFolder);
+    DurableEnv env(lives.under, lives.under.backend().syncDirectory);
     const std::string other = R"({"ready":true,"after_loss":false,"incarnation":"another"})";
     ASSERT_TRUE(replaceFile(env, "/data/member/identity", other).ok());
     ASSERT_TRUE(lives.open());
     EXPECT_NE(lives.disk->incarnation(), "another");
-    EXPECT_TRUE(lives.disk->afterLoss());
+    EXPECT_TRUE(lives.disk->stateWasLost());
 }
 
 // The disk begins to refuse at any change of opening again, and takes bytes later.
@@ -206,14 +206,14 @@
     for (int at = 0;; ++at) {
         Lives lives;
         lives.under.CreateDir("/data");
-        lives.under.backend().syncFolder("/");
+        lives.under.backend().syncDirectory("/");
         lives.live(4);
         lives.under.refuseBehind(at);
         for (int attempt = 0; attempt < 2; ++attempt) {
             try {
                 lives.disk->reopen();
             } catch (const DiskError& error) {
-                ASSERT_EQ(error.fault(), DiskFault::refuses) << at << ": " << error.what();
+                ASSERT_EQ(error.fault(), DiskFault::ioError) << at << ": " << error.what();
             }
         }
         const bool over = !lives.under.refuses();
@@ -230,8 +230,8 @@
     for (unsigned seed = 0; seed < 16; ++seed) {
         FaultyDisk under;
         under.CreateDir("/data");
-        under.backend().syncFolder("/");
-        DurableEnv env(under, under.backend().syncFolder);
+        under.backend().syncDirectory("/");
+        DurableEnv env(under, under.backend().syncDirectory);
         auto make = [&env](const std::string& path) {
             leveldb::WritableFile* file = nullptr;
             EXPECT_TRUE(env.NewWritableFile(path, &file).ok());
@@ -289,7 +289,7 @@
 
     Written() {
         lives.under.CreateDir("/data");
-        lives.under.backend().syncFolder("/");
+        lives.under.backend().syncDirectory("/");
         lives.live(0);
         writer = std::make_unique<DiskWriter>(std::move(lives.disk), reports.sink(), milliseconds(1));
     }
@@ -310,8 +310,8 @@
     world.writer.reset();
     world.lives.losePower(1);
     ASSERT_TRUE(world.lives.open());
-    EXPECT_EQ(world.lives.disk->all().at("b"), 50);
-    EXPECT_EQ(world.lives.disk->all().at("a"), 1);
+    EXPECT_EQ(world.lives.disk->readAll().at("b"), 50);
+    EXPECT_EQ(world.lives.disk->readAll().at("a"), 1);
 }
 
 TEST(DiskWriter, EndsInTimeAlthoughTheDiskHangs) {
@@ -331,7 +331,7 @@
         ASSERT_TRUE(world.reports.await(DiskReport::Event::durable, 1));
         world.lives.under.refuse(true);
         world.writer->submit({{"a", 2}}, 2);
-        ASSERT_TRUE(world.reports.await(DiskReport::Event::refuses, 2));
+        ASSERT_TRUE(world.reports.await(DiskReport::Event::writeFailed, 2));
         world.writer->submit({{"c", 3}}, 3);
         EXPECT_FALSE(world.reports.durable(2));
         world.lives.under.refuse(false);
@@ -339,7 +339,7 @@
         world.writer.reset();
         world.lives.losePower(seed);
         ASSERT_TRUE(world.lives.open());
-        const DiskRecords records = world.lives.disk->all();
+        const DiskRecords records = world.lives.disk->readAll();
         EXPECT_EQ(world.lives.disk->incarnation(), world.lives.promisedAs);
         EXPECT_EQ(records.at("a"), 2);
         EXPECT_EQ(records.at("b"), 1);
@@ -351,7 +351,7 @@
     Written world;
     world.lives.under.refuse(true);
     world.writer->submit({{"a", 2}}, 2);
-    ASSERT_TRUE(world.reports.await(DiskReport::Event::refuses, 2));
+    ASSERT_TRUE(world.reports.await(DiskReport::Event::writeFailed, 2));
     for (const std::string& name : world.lives.under.files())
         if (name.ends_with("CURRENT")) world.lives.under.loseName(name);
     world.lives.under.refuse(false);
@@ -360,7 +360,7 @@
     EXPECT_TRUE(world.writer->stop(std::chrono::seconds(20)));
     world.writer.reset();
     ASSERT_TRUE(world.lives.open());
-    EXPECT_TRUE(world.lives.disk->afterLoss());
+    EXPECT_TRUE(world.lives.disk->stateWasLost());
     EXPECT_NE(world.lives.disk->incarnation(), world.lives.promisedAs);
 }
 
@@ -390,7 +390,7 @@
                           {"tries", 2},
                           {"staleness_ms", 2500}});
     std::uintmax_t largest = 0;
-    auto disk = std::make_unique<Disk>(folder.string(), machineDisk(), [] { return std::string("1"); });
+    auto disk = std::make_unique<Disk>(folder.string(), systemDisk(), [] { return std::string("1"); });
     for (int change = 1; change <= changes; ++change) {
         routes[static_cast<std::size_t>(change % 100)]["deadline_ms"] = 1000 + change;
         disk->write(
@@ -399,8 +399,8 @@
     }
     disk.reset();
     const auto begun = std::chrono::steady_clock::now();
-    disk = std::make_unique<Disk>(folder.string(), machineDisk(), [] { return std::string("2"); });
-    const auto records = disk->all();
+    disk = std::make_unique<Disk>(folder.string(), systemDisk(), [] { return std::string("2"); });
+    const auto records = disk->readAll();
     const auto took = std::chrono::steady_clock::now() - begun;
     EXPECT_EQ(records.at("slot/config").at("ar"), changes);
     EXPECT_EQ(disk->incarnation(), "1");
@@ -484,13 +484,14 @@
     DutyWorld world;
     const std::string other = World::address(0);
     for (int store = 0; store < 2; ++store)
-        world.members[other].control->call(++world.lastCall, "PUT", {"stores", "i-" + std::to_string(store)},
-                                           Json{{"depot", "svc"},
-                                                {"address", "10.9.0.1:80"},
-                                                {"db_role", store ? "branch_office" : "head_office"},
-                                                {"call_seq", 1}}
-                                               .dump(),
-                                           world.now);
+        world.members[other].control->handleCall(++world.lastCall, "PUT",
+                                                 {"stores", "i-" + std::to_string(store)},
+                                                 Json{{"depot", "svc"},
+                                                      {"address", "10.9.0.1:80"},
+                                                      {"db_role", store ? "branch_office" : "head_office"},
+                                                      {"call_seq", 1}}
+                                                     .dump(),
+                                                 world.now);
     world.carry(other);
     world.run(millis(500));
     const auto owners = world.askers(millis(2600));
@@ -507,7 +508,7 @@
     const int writes = member.writes;
     const auto refused = world.put(sick, 6, "b");
     world.run(millis(400));
-    EXPECT_EQ(member.answers[refused].first, Kind::unready);
+    EXPECT_EQ(member.answers[refused].first, CallOutcome::notReady);
     const auto second = world.put(well, 7, "c");
     world.run(millis(1000));
     EXPECT_TRUE(world.taken(well, second));
--- a/tests/system/gossip.cpp
+++ b/tests/system/gossip.cpp
@@ -649,8 +649,8 @@
         Nanos now = millis(1'000'000);
         settings::Settings settings;
         settings.controlAddress = self;
-        const Json core{{"epoch", 1}, {"voters", {self, voter, "10.0.0.3:80"}}};
-        control::ControlMember member(settings, "1", {{"core", core}}, now);
+        const Json voterSet{{"epoch", 1}, {"voters", {self, voter, "10.0.0.3:80"}}};
+        control::ControlMember member(settings, "1", {{"core", voterSet}}, now);
         std::deque<Json> toMember;
         board::Gossip peer([&](int, Json message) { toMember.push_back(std::move(message)); },
                            [](auto&, auto&) {});
@@ -668,7 +668,7 @@
         };
         const auto leased = [&] { return member.state(now)["lease_left_ms"].get<int>() > 0; };
         member.linkUp(1, "", now);
-        member.heard(1, early.toJson(), now);
+        member.handleMessage(1, early.toJson(), now);
         member.linkUp(2, voter, now);
         peer.join(7, board::Side::acceptor);
         const auto answerAll = [&] {
@@ -689,7 +689,7 @@
             if (toMember.empty()) continue;
             const Json message = std::exchange(toMember.front(), {});
             toMember.pop_front();
-            member.heard(2, message, now);
+            member.handleMessage(2, message, now);
             if (leased()) {
                 ASSERT_EQ(lead(), "new") << asksAfter;
             }
@@ -697,7 +697,7 @@
         EXPECT_EQ(lead(), "new");
         member.tick(now += millis(200));
         answerAll();
-        for (; !toMember.empty(); toMember.pop_front()) member.heard(2, toMember.front(), now);
+        for (; !toMember.empty(); toMember.pop_front()) member.handleMessage(2, toMember.front(), now);
         EXPECT_TRUE(leased());
     }
 }
@@ -720,8 +720,8 @@
     world.run(millis(1500));
     Nanos startedAt = 0, caughtUpAt = 0;
     for (std::uint64_t change = 1; change <= changes; ++change) {
-        world.members[taker].control->call(++world.lastCall, "PUT", {"config"}, configOf(change, 300).dump(),
-                                           world.now);
+        world.members[taker].control->handleCall(++world.lastCall, "PUT", {"config"},
+                                                 configOf(change, 300).dump(), world.now);
         world.carry(taker);
         for (int ms = 0; ms < everyMs; ++ms) {
             const std::uint64_t before = edition(taker);
--- a/tests/system/history.cpp
+++ b/tests/system/history.cpp
@@ -85,10 +85,10 @@
             const auto found = answers.find(each.call);
             if (found == answers.end()) return false;
             const auto& [kind, body] = found->second;
-            if (kind == Kind::taken || kind == Kind::notFound) ++answered_;
-            if (kind == Kind::taken && each.write) history_.acknowledged(each.entry, world_.now);
-            if (kind == Kind::notFound) history_.read(each.entry, world_.now, 0, "");
-            if (kind == Kind::taken && !each.write) {
+            if (kind == CallOutcome::accepted || kind == CallOutcome::notFound) ++answered_;
+            if (kind == CallOutcome::accepted && each.write) history_.acknowledged(each.entry, world_.now);
+            if (kind == CallOutcome::notFound) history_.read(each.entry, world_.now, 0, "");
+            if (kind == CallOutcome::accepted && !each.write) {
                 const Json read = Json::parse(body);
                 history_.read(each.entry, world_.now, read.at("edition"), read.at("mark"));
             }
@@ -109,7 +109,7 @@
         if (!usable(at)) return;
         const std::size_t entry = history_.begin(at, false, world_.now);
         const std::uint64_t call = ++world_.lastCall;
-        world_.members[at].control->call(call, "GET", {"config"}, "", world_.now);
+        world_.members[at].control->handleCall(call, "GET", {"config"}, "", world_.now);
         world_.carry(at);
         open_.push_back({at, call, entry, false});
     }
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -101,25 +101,25 @@
         world.run(millis(200));
         ControlMember& control = *world.members[World::address(0)].control;
         auto beat = [&](int seq, const char* standing) {
-            control.call(++world.lastCall, "PUT", {"stores", "i-1"},
-                         Json{{"depot", "svc"},
-                              {"address", "10.9.0.1:80"},
-                              {"standing", standing},
-                              {"db_role", "head_office"},
-                              {"call_seq", seq}}
-                             .dump(),
-                         world.now);
+            control.handleCall(++world.lastCall, "PUT", {"stores", "i-1"},
+                               Json{{"depot", "svc"},
+                                    {"address", "10.9.0.1:80"},
+                                    {"standing", standing},
+                                    {"db_role", "head_office"},
+                                    {"call_seq", seq}}
+                                   .dump(),
+                               world.now);
         };
         for (const int what : order) {
             if (what == 0) beat(1, "accepting");
             if (what == 1) beat(3, "winding_down");
-            if (what == 2) control.call(++world.lastCall, "DELETE", {"stores", "i-1"}, "", world.now);
+            if (what == 2) control.handleCall(++world.lastCall, "DELETE", {"stores", "i-1"}, "", world.now);
             if (what == 3) beat(2, "accepting");
         }
         for (const Output& each : control.takeOutputs()) {
             const auto* answer = std::get_if<ToCaller>(&each);
             if (answer) {
-                EXPECT_EQ(answer->kind, Kind::taken);
+                EXPECT_EQ(answer->outcome, CallOutcome::accepted);
             }
         }
         const auto* record = static_cast<const Succession::Means&>(control).board().find("store/i-1");
@@ -139,7 +139,7 @@
     const std::string at = World::address(0);
     ControlMember& control = *world.members[at].control;
     auto sent = [&](const std::string& body) {
-        control.call(++world.lastCall, "PUT", {"config"}, body, world.now);
+        control.handleCall(++world.lastCall, "PUT", {"config"}, body, world.now);
         world.carry(at);
         world.run(millis(100));
         return world.members[at].answers[world.lastCall];
@@ -147,26 +147,26 @@
     const std::string route =
         R"({"label":"r","hostname":"h","path_prefix":"/","depot":"d","deadline_ms":100,"mode":"own"})";
     const std::string whole = R"({"edition":4,"itineraries":[)" + route + R"(],"depots":[{"label":"d"}]})";
-    EXPECT_EQ(sent(whole.substr(0, 40)).first, Kind::notSound);
+    EXPECT_EQ(sent(whole.substr(0, 40)).first, CallOutcome::invalid);
     EXPECT_EQ(sent(R"({"edition":4,"itineraries":[)" + route + "," + route + R"(],"depots":[{"label":"d"}]})")
                   .first,
-              Kind::notSound);
+              CallOutcome::invalid);
     EXPECT_NE(sent(R"({"edition":4,"itineraries":[)" + route + R"(],"depots":[]})")
                   .second.find("unknown depot 'd'"),
               std::string::npos);
     std::string zero = whole;
     zero.replace(zero.find(":100"), 4, ":0");
     EXPECT_NE(sent(zero).second.find("deadline_ms"), std::string::npos);
-    EXPECT_EQ(sent(whole).first, Kind::taken);
+    EXPECT_EQ(sent(whole).first, CallOutcome::accepted);
     std::string older = whole;
     older.replace(older.find(":4"), 2, ":3");
-    EXPECT_EQ(sent(older).first, Kind::taken);
+    EXPECT_EQ(sent(older).first, CallOutcome::accepted);
     EXPECT_EQ(world.get(at)->at("edition"), 4);
-    control.call(++world.lastCall, "POST", {"config"}, "", world.now);
-    control.call(++world.lastCall, "GET", {"nothing"}, "", world.now);
+    control.handleCall(++world.lastCall, "POST", {"config"}, "", world.now);
+    control.handleCall(++world.lastCall, "GET", {"nothing"}, "", world.now);
     world.carry(at);
-    EXPECT_EQ(world.members[at].answers[world.lastCall - 1].first, Kind::notAllowed);
-    EXPECT_EQ(world.members[at].answers[world.lastCall].first, Kind::notFound);
+    EXPECT_EQ(world.members[at].answers[world.lastCall - 1].first, CallOutcome::methodNotAllowed);
+    EXPECT_EQ(world.members[at].answers[world.lastCall].first, CallOutcome::notFound);
 }
 
 // Cuts, crashes and wipes by chance, one machine at a time; what was acknowledged is read back. The seed is
@@ -223,7 +223,7 @@
     const auto& board = static_cast<Succession::Means&>(member).board();
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
-    member.heard(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
+    member.handleMessage(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
     board::News news;
     for (const char* name : {"front/f1", "member/10.0.0.9:80"}) {
         board::RecordUpdate update;
@@ -232,7 +232,7 @@
         update.body = {{"ip", "10.0.0.9"}};
         news.records.push_back(update);
     }
-    member.heard(link, news.toJson(), world.now);
+    member.handleMessage(link, news.toJson(), world.now);
     member.linkDown(link, world.now);
     world.carry(self);
     const auto pass = [&](Nanos time) {
--- a/tests/system/membership.cpp
+++ b/tests/system/membership.cpp
@@ -51,7 +51,7 @@
 
 void apply(VoterView& view, const VoterChange& change) {
     view.voters = votersAfter(view.voters, change);
-    for (Names* names : {&view.absent, &view.absentForGood, &view.unreachable, &view.departing})
+    for (Names* names : {&view.absent, &view.longAbsent, &view.unreachable, &view.departing})
         names->erase(change.member);
     std::erase(view.candidates, change.member);
 }
@@ -65,12 +65,12 @@
                     SCOPED_TRACE(testing::Message() << size << absent << departing << newcomers);
                     const int tolerance = size >= 5 ? 2 : 1;
                     VoterView view;
-                    view.fewestVoters = fewestVotersFor(tolerance);
+                    view.minVoters = minVotersFor(tolerance);
                     for (int i = 0; i < size; ++i) view.voters.insert(at(i));
                     for (int i = 0; i < absent; ++i) view.absent.insert(at(i));
                     for (int i = absent; i < absent + departing; ++i) view.departing.insert(at(i));
                     for (int i = 0; i < newcomers; ++i) view.candidates.push_back("new" + std::to_string(i));
-                    view.unreachable = view.absentForGood = view.absent;
+                    view.unreachable = view.longAbsent = view.absent;
                     int steps = 0;
                     for (auto next = nextVoterChange(view); next; next = nextVoterChange(view)) {
                         expectSafe(view, *next, tolerance);
@@ -86,7 +86,7 @@
 
 TEST(VoterPolicy, KeepsToItsFloorAndGrowsOnlyWhileAllAreInReach) {
     VoterView view;
-    view.fewestVoters = fewestVotersFor(2);
+    view.minVoters = minVotersFor(2);
     view.voters = {at(0), at(1), at(2), at(3)};
     view.absent = view.unreachable = {at(3)};
     EXPECT_FALSE(nextVoterChange(view));
@@ -99,12 +99,12 @@
     EXPECT_EQ(nextVoterChange(view), (VoterChange{VoterChange::Kind::add, at(4)}));
 }
 
-struct NoMeans : Membership::Means {
+struct NoHost : Membership::Host {
     void sendToVoter(const std::string&, Json) override { ++asked; }
     bool linkedTo(const std::string&) const override { return true; }
-    std::set<std::string> registersHeld() const override { return {}; }
-    void acceptAnew(const std::string&, std::function<void(bool)>) override {}
-    void writeCore(const Core&, std::function<void()>) override { ++written; }
+    std::set<std::string> heldRegisters() const override { return {}; }
+    void reaccept(const std::string&, std::function<void(bool)>) override {}
+    void writeVoterSet(const VoterSet&, std::function<void()>) override { ++written; }
     void logMembership(std::string) override {}
     int written = 0, asked = 0;
 };
@@ -113,51 +113,51 @@
 // vote.
 TEST(Membership, ExchangesALeaverAtOnceAndNoneThatIsBack) {
     for (const bool back : {true, false}) {
-        NoMeans means;
-        Membership membership(at(0), settings::Settings(), means, 0);
-        membership.adopted({1, {at(0), at(1), at(2)}}, 0);
-        membership.told(at(2), {.leaving = true});
+        NoHost host;
+        Membership membership(at(0), settings::Settings(), host, 0);
+        membership.adopt({1, {at(0), at(1), at(2)}}, 0);
+        membership.updateStatus(at(2), {.leaving = true});
         Nanos now = 0;
         for (; now <= millis(400); now += millis(50)) {
-            membership.heard(at(1), now);
-            membership.heard(at(4), now);
+            membership.recordContact(at(1), now);
+            membership.recordContact(at(4), now);
             membership.tick(true, now);
         }
-        EXPECT_FALSE(membership.settled(now));
-        if (back) membership.heard(at(2), now);
-        membership.heard(at(1), CensusReply{1, {}, false}, now);
-        EXPECT_EQ(means.written, back ? 0 : 1);
+        EXPECT_FALSE(membership.isStable(now));
+        if (back) membership.recordContact(at(2), now);
+        membership.handleReply(at(1), SurveyReply{1, {}, false}, now);
+        EXPECT_EQ(host.written, back ? 0 : 1);
     }
 }
 
 // From its answer on it refuses what an earlier epoch asks.
 TEST(Membership, AdoptsTheEpochOfACensusBeforeItAnswers) {
     Rig rig(3, 1, 12);
-    const CensusRequest request{rig.epochAt(at(1)) + 1, rig.votersAt(at(1)), ""};
+    const SurveyRequest request{rig.epochAt(at(1)) + 1, rig.votersAt(at(1)), ""};
     const auto wire = std::find_if(rig.wires.begin(), rig.wires.end(),
                                    [](const auto& each) { return each.second.first == at(1); });
     ASSERT_NE(wire, rig.wires.end());
-    rig.members[at(1)].control->heard(wire->second.second, request.toJson(), rig.now);
+    rig.members[at(1)].control->handleMessage(wire->second.second, request.toJson(), rig.now);
     EXPECT_EQ(rig.epochAt(at(1)), request.epoch);
 }
 
 // One that recovers gets no vote yet; who leaves waits for it all the same.
 TEST(Membership, CountsNoMemberThatLeavesOrRecoversAsANewcomer) {
-    NoMeans means;
-    Membership membership(at(0), settings::Settings(), means, 0);
-    membership.adopted({1, {at(0), at(1), at(2)}}, 0);
-    membership.heard(at(2), 0);
+    NoHost host;
+    Membership membership(at(0), settings::Settings(), host, 0);
+    membership.adopt({1, {at(0), at(1), at(2)}}, 0);
+    membership.recordContact(at(2), 0);
     Nanos now = millis(5000);
-    for (const MemberStanding standing :
-         {MemberStanding{true, false}, MemberStanding{false, true}, MemberStanding{}}) {
-        membership.told(at(4), standing);
+    for (const MemberStatus standing :
+         {MemberStatus{true, false}, MemberStatus{false, true}, MemberStatus{}}) {
+        membership.updateStatus(at(4), standing);
         for (const Nanos until = now + millis(2000); now < until; now += millis(100)) {
-            membership.heard(at(1), now);
-            membership.heard(at(4), now);
+            membership.recordContact(at(1), now);
+            membership.recordContact(at(4), now);
             membership.tick(true, now);
         }
-        EXPECT_EQ(means.asked > 0, !standing.leaving && !standing.recovering);
-        EXPECT_EQ(membership.settled(now), standing.leaving);
+        EXPECT_EQ(host.asked > 0, !standing.leaving && !standing.recovering);
+        EXPECT_EQ(membership.isStable(now), standing.leaving);
     }
 }
 
@@ -316,12 +316,12 @@
     rig.comes(20);
     rig.play(millis(100));
     ControlMember& leaver = *rig.members[at(1)].control;
-    leaver.call(++rig.lastCall, "PUT", {"stores", "i-9"},
-                R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
+    leaver.handleCall(++rig.lastCall, "PUT", {"stores", "i-9"},
+                      R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
     rig.leave(at(1));
     const std::uint64_t call = rig.put(at(1), 99, "late");
     ASSERT_TRUE(rig.members[at(1)].answers.count(call));
-    EXPECT_EQ(rig.members[at(1)].answers[call].first, Kind::leaving);
+    EXPECT_EQ(rig.members[at(1)].answers[call].first, CallOutcome::shuttingDown);
     EXPECT_LT(rig.untilEnded(at(1)), millis(1500));
     for (const std::string& name : rig.alive()) {
         const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
@@ -334,8 +334,8 @@
 TEST(Membership, FinishesWhatItHasInHandBeforeItEnds) {
     Rig rig(3, 1, 9);
     ControlMember& leaver = *rig.members[at(1)].control;
-    leaver.call(++rig.lastCall, "PUT", {"stores", "i-9"},
-                R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
+    leaver.handleCall(++rig.lastCall, "PUT", {"stores", "i-9"},
+                      R"({"depot":"svc","address":"10.9.0.1:80","call_seq":1})", rig.now);
     rig.send(at(1));
     rig.leave(at(1));
     EXPECT_LT(rig.untilEnded(at(1)), millis(200));
--- a/tests/system/promotion.cpp
+++ b/tests/system/promotion.cpp
@@ -551,14 +551,14 @@
         // The next attempt is ready, and waits for the first call's end.
         EXPECT_FALSE(untilPost());
         EXPECT_STREQ(owner.phase(), "promoting");
-        owner.promoted(first->ask, late, now);
+        owner.promoted(first->requestId, late, now);
         EXPECT_STREQ(owner.phase(), "promoting");
         const auto second = untilPost();
         ASSERT_TRUE(second);
         EXPECT_GT(second->fence, first->fence);
-        owner.promoted(first->ask, late, now);
+        owner.promoted(first->requestId, late, now);
         EXPECT_STREQ(owner.phase(), "promoting");
-        owner.promoted(second->ask, PromotionAnswer::accepted, now);
+        owner.promoted(second->requestId, PromotionAnswer::accepted, now);
         EXPECT_STREQ(owner.phase(), "rising");
     }
 }
@@ -567,7 +567,7 @@
 // the first life's may have stood, the second must not act under it as if it were its own.
 // Of the lead that a slot on disk holds; 0 where it holds none.
 std::uint64_t seqOf(const Json& slot) {
-    const std::optional<Lead> lead = readLead(readSlot(slot).value);
+    const std::optional<Lead> lead = readLead(slotFromJson(slot).value);
     return lead ? lead->seq : 0;
 }
 
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -39,7 +39,7 @@
         settings.station = "control-a";
         settings.seeds = {"b", "c"};
         settings.firstBoot = false;
-        disk[lifeKey] = nextLife(disk);
+        disk[processIncarnationKey] = nextProcessIncarnation(disk);
         member = std::make_unique<ControlMember>(settings, "7", disk, now);
         int link = 0;
         for (const char* other : {"b", "c", "d", "e"}) member->linkUp(++link, other, now);
@@ -50,16 +50,17 @@
         for (Outputs outputs = member->takeOutputs(); !outputs.empty(); outputs = member->takeOutputs())
             for (Output& each : outputs) {
                 if (auto* write = std::get_if<ToDisk>(&each)) disk[write->name] = write->body;
-                if (auto* vote = std::get_if<ToSelf>(&each)) member->voteStored(vote->reply, now);
+                if (auto* vote = std::get_if<ToSelf>(&each)) member->handleDurableVote(vote->reply, now);
                 auto* out = std::get_if<ToLink>(&each);
                 if (!out) continue;
                 said.push_back(out->message);
                 if (out->message.at("k") == board::Inventory::kind)
-                    member->heard(out->link, board::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                    member->handleMessage(out->link, board::Complete{out->message.at("exchange"), 0}.toJson(),
+                                          now);
             }
     }
     void hear(int link, const Json& message) {
-        member->heard(link, message, now);
+        member->handleMessage(link, message, now);
         collect();
     }
     void hello(int link, std::uint64_t epoch, const std::set<std::string>& voters) {
@@ -72,7 +73,7 @@
     }
     void dump(int link, std::uint64_t epoch, const std::map<std::string, Slot>& slots = {}) {
         Json all = Json::object();
-        for (const auto& [name, slot] : slots) all[name] = written(slot);
+        for (const auto& [name, slot] : slots) all[name] = slotToJson(slot);
         hear(link, {{"k", "dump"}, {"e", epoch}, {"slots", all}});
     }
     void run(Nanos time) {
@@ -105,7 +106,7 @@
     int lease() const { return member->state(now)["lease_left_ms"]; }
 };
 
-Json coreOf(std::uint64_t epoch, const std::set<std::string>& voters) {
+Json voterSetJson(std::uint64_t epoch, const std::set<std::string>& voters) {
     return {{"epoch", epoch}, {"voters", voters}};
 }
 
@@ -113,8 +114,8 @@
 
 TEST(UnsettledLead, IsToldByAVoterThatRestarted) {
     for (const bool steady : {false, true}) {
-        Lone lone(
-            {{"core", coreOf(1, {"a", "b", "c"})}, {"slot/lead/svc", written(slotOf(4, leadOf(6, steady)))}});
+        Lone lone({{"core", voterSetJson(1, {"a", "b", "c"})},
+                   {"slot/lead/svc", slotToJson(slotOf(4, leadOf(6, steady)))}});
         EXPECT_EQ(lone.round(1)->unsettled, (LeadMarks{{"svc", 6}}));
         EXPECT_EQ(lone.toldUnderLease(), (LeadMarks{{"svc", 6}}));
         // Once the board shows it: an unsteady one is still told, as the asker's board may not have it yet.
@@ -133,7 +134,7 @@
 }
 
 TEST(UnsettledLead, ToldByAVoterStandsAsLongAsALeaseMayRestOnIt) {
-    Lone lone({{"core", coreOf(1, {"a", "b", "c"})}});
+    Lone lone({{"core", voterSetJson(1, {"a", "b", "c"})}});
     lone.hear(1, LeaseAnswer{1, 1, {{"svc", 6}}}.toJson());
     EXPECT_EQ(lone.toldUnderLease(), (LeadMarks{{"svc", 6}}));
     lone.now += LeaseRounds::leaseTime - 1;
@@ -148,7 +149,7 @@
 // ---- the lease ----------------------------------------------------------------------------------------
 
 TEST(Lease, IsHadFromAMajorityOfOneEpochOnly) {
-    const Core first{1, {"a", "b", "c", "d"}}, second{2, {"a", "b", "c"}};
+    const VoterSet first{1, {"a", "b", "c", "d"}}, second{2, {"a", "b", "c"}};
     LeaseRounds rounds;
     const LeaseQuestion old = rounds.begin(first, "a", millis(1000));
     rounds.answered("b", {old.round, 1, {}}, first);
@@ -165,7 +166,7 @@
 }
 
 TEST(Lease, RunsFromTheSendingHoweverLateAnAnswerIsRead) {
-    Lone lone({{"core", coreOf(1, {"a", "b", "c"})}});
+    Lone lone({{"core", voterSetJson(1, {"a", "b", "c"})}});
     lone.run(millis(100));
     lone.hear(1, LeaseAnswer{1, 1, {}}.toJson());
     EXPECT_GT(lone.lease(), 500);
@@ -228,11 +229,11 @@
 }
 
 TEST(Recovery, GivesNoVoteBeforeItsEnd) {
-    const Core core{4, {"a", "b", "c"}};
+    const VoterSet voterSet{4, {"a", "b", "c"}};
     VoteRequest request;
     request.name = "config";
     request.ballot = {3, {"b", "1", 1}};
-    request.core = core;
+    request.voterSet = voterSet;
     Lone lone;
     lone.hear(1, request.toJson());
     EXPECT_EQ(lone.count("abstains"), 1u);
@@ -307,7 +308,7 @@
     Lone lone;
     lone.hello(1, 4, {"a", "b", "c"});
     lone.run(millis(1300));
-    lone.dump(1, 4, {{"core", slotOf(9, coreOf(5, {"a", "b", "c", "d"}))}});
+    lone.dump(1, 4, {{"core", slotOf(9, voterSetJson(5, {"a", "b", "c", "d"}))}});
     lone.dump(2, 4);
     EXPECT_FALSE(lone.votes());
     // It finds out whether that was chosen, in case that nobody else does.
@@ -321,7 +322,7 @@
 }
 
 TEST(Recovery, IsAnsweredOnlyInTheEpochThatItAsksIn) {
-    Lone lone({{"core", coreOf(5, {"a", "b", "c"})}});
+    Lone lone({{"core", voterSetJson(5, {"a", "b", "c"})}});
     lone.said.clear();
     lone.hear(1, {{"k", "dump?"}, {"e", 4}, {"c", {"a", "b", "c", "d"}}});
     EXPECT_EQ(lone.count("dump"), 0u);
@@ -332,15 +333,15 @@
 }
 
 TEST(Votes, AreGivenInThePresentEpochOnly) {
-    Lone lone({{"core", coreOf(5, {"a", "b", "c"})}});
+    Lone lone({{"core", voterSetJson(5, {"a", "b", "c"})}});
     VoteRequest request;
     request.name = "config";
     request.ballot = {3, {"b", "1", 1}};
-    request.core = {4, {"a", "b", "c", "d"}};
+    request.voterSet = {4, {"a", "b", "c", "d"}};
     lone.hear(1, request.toJson());
     EXPECT_EQ(lone.count("promised"), 0u);
     EXPECT_EQ(lone.count("stale"), 1u);
-    request.core = {6, {"a", "b", "c", "d"}};
+    request.voterSet = {6, {"a", "b", "c", "d"}};
     lone.hear(1, request.toJson());
     EXPECT_EQ(lone.count("promised"), 1u);
     EXPECT_EQ(lone.member->state(lone.now)["epoch"], 6);
@@ -348,9 +349,9 @@
 
 TEST(Recovery, IsNotAnsweredByAMemberThatDoesNotVote) {
     for (const bool recovering : {false, true}) {
-        Json core = coreOf(5, {"a", "b", "c"});
-        if (recovering) core["recovering"] = true;
-        Lone lone({{"core", core}});
+        Json voterSet = voterSetJson(5, {"a", "b", "c"});
+        if (recovering) voterSet["recovering"] = true;
+        Lone lone({{"core", voterSet}});
         lone.hear(1, {{"k", "dump?"}, {"e", 5}, {"c", {"a", "b", "c"}}});
         EXPECT_EQ(lone.count("dump"), recovering ? 0u : 1u);
     }
--- a/tests/system/registers.cpp
+++ b/tests/system/registers.cpp
@@ -27,9 +27,9 @@
             const std::string self = i == 0 ? "a" : "b";
             proposers.push_back(std::make_unique<Proposer>(
                 ProposerId{self, "1", 1},
-                [this, self](const std::string& name) -> const Slot& { return acceptors[self].at(name); }));
-            for (const auto& [voter, acceptor] : acceptors) proposers[i]->reached(voter);
-            proposers[i]->core({1, {"a", "b", "c"}}, 1);
+                [this, self](const std::string& name) -> const Slot& { return acceptors[self].slot(name); }));
+            for (const auto& [voter, acceptor] : acceptors) proposers[i]->linkUp(voter);
+            proposers[i]->setVoters({1, {"a", "b", "c"}}, 1);
             // Both send a body under edition 7: one of them may be taken, and only one.
             proposers[i]->begin({"config",
                                  [i](const Json& was) {
@@ -42,14 +42,14 @@
         }
     }
     void collect(int i) {
-        for (auto& [to, message] : proposers[i]->takeSaid()) under.push_back({i, to, message});
+        for (auto& [to, message] : proposers[i]->takeRequests()) under.push_back({i, to, message});
     }
     void deliver(std::size_t which, Nanos now) {
         const Message m = under[which];
         under.erase(under.begin() + static_cast<std::ptrdiff_t>(which));
         Acceptor& acceptor = acceptors[m.voter];
-        const Json reply = acceptor.answer(VoteRequest::fromJson(m.body)).reply.toJson();
-        proposers[m.proposer]->heard(m.voter, reply, now);
+        const Json reply = acceptor.handle(VoteRequest::fromJson(m.body)).reply.toJson();
+        proposers[m.proposer]->handleReply(m.voter, reply, now);
         proposers[m.proposer]->tick(now + millis(300));  // a pause after a clash is over at the next step
         collect(m.proposer);
     }
@@ -57,7 +57,8 @@
     Json readWithout(const std::string& out) {
         Slot best;
         for (auto& [name, acceptor] : acceptors)
-            if (name != out && best.accepted < acceptor.at("config").accepted) best = acceptor.at("config");
+            if (name != out && best.accepted < acceptor.slot("config").accepted)
+                best = acceptor.slot("config");
         return best.value;
     }
 };
