--- a/src/control/call_redirects.cpp
+++ b/src/control/call_redirects.cpp
@@ -6,11 +6,11 @@
 namespace granitereel::control {
 
 std::optional<std::string> RedirectHints::longestLease(Nanos now) const {
-    const auto at =
+    const auto found =
         std::max_element(leaseEnd_.begin(), leaseEnd_.end(),
                          [](const auto& one, const auto& other) { return one.second < other.second; });
-    if (at == leaseEnd_.end() || at->second <= now) return std::nullopt;
-    return at->first;
+    if (found == leaseEnd_.end() || found->second <= now) return std::nullopt;
+    return found->first;
 }
 
 void CallsAwaitingLease::add(std::uint64_t number, std::function<void(Nanos)> run, Nanos now) {
--- a/src/control/call_redirects.hpp
+++ b/src/control/call_redirects.hpp
@@ -1,5 +1,5 @@
-// Which members say that they are in contact with a majority of the voters, and the calls that wait for this
-// member's own contact. Free of I/O, clocks and chance.
+// Redirection of calls: which members report a lease, i.e. contact with a majority of the voters, and the
+// calls that wait for this member's own lease. Free of I/O, clocks and randomness.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,23 @@
 
 namespace granitereel::control {
 
-// What members said of their leases, as hints of where to send a caller: nothing is decided by them.
+// Lease times reported by members, as hints of where to redirect a caller; no decision depends on them.
 class RedirectHints {
 public:
-    // `left`: of the member's lease, when it said so.
+    // `leaseLeft`: remaining lease time of the member when it sent the report.
     void update(const std::string& member, Nanos leaseLeft, Nanos now) {
         leaseEnd_[member] = now + leaseLeft;
     }
     void remove(const std::string& member) { leaseEnd_.erase(member); }
-    // The member whose lease lasts longest, if any still does.
+    // The member with the longest remaining lease, if any is still valid.
     std::optional<std::string> longestLease(Nanos now) const;
 
 private:
     std::map<std::string, Nanos> leaseEnd_;
 };
 
-// Calls that came while this member had no lease. They are short of it for a moment only after a start or a
-// late answer; else the caller is sent on.
+// Calls that arrived while this member had no lease. It usually gets one within moments (after a start or a
+// late reply); otherwise the caller is redirected.
 class CallsAwaitingLease {
 public:
     struct Call {
@@ -38,13 +38,13 @@
         std::function<void(Nanos now)> run;
         Nanos deadline = 0;
     };
-    // Longer than a round of the lease and the way there and back, well under the second that callers wait.
+    // Longer than a lease round and a round trip, well below the second that callers wait.
     static constexpr Nanos maxWait = millis(300);
 
     void add(std::uint64_t number, std::function<void(Nanos)> run, Nanos now);
-    // All of them, once there is a lease.
+    // Removes and returns all calls, once there is a lease.
     std::vector<Call> takeAll() { return std::exchange(calls_, {}); }
-    // Those that have waited long enough.
+    // Removes and returns the calls that have waited for `maxWait`.
     std::vector<Call> takeExpired(Nanos now);
 
 private:
--- a/src/control/disk.cpp
+++ b/src/control/disk.cpp
@@ -13,11 +13,11 @@
 namespace granitereel::control {
 
 namespace {
-// A few hundred registers of some KB: small buffers keep memory and the time to open small.
+// The state is a few hundred registers of a few KB: small buffers keep memory use and opening time low.
 constexpr std::size_t writeBufferBytes = 1 << 20;
 constexpr int maxOpenFiles = 64;
 
-// A disk that refuses says so by an I/O error; everything else is about what the files hold.
+// LevelDB reports a failing disk as an I/O error; every other error is about the content of the files.
 void throwIfFailed(const leveldb::Status& status) {
     if (status.ok()) return;
     throw DiskError(status.IsIOError() ? DiskFault::ioError : DiskFault::lost, status.ToString());
@@ -37,7 +37,7 @@
       env_(*backend.env, std::move(backend.syncDirectory), directory_ + "/state", directory_ + "/logs"),
       generateIncarnation_(std::move(generate)) {
     createDirectory();
-    bool mayHaveVoted = true;  // whether a vote may have been given on what stood here
+    bool mayHaveVoted = true;  // whether a vote may have been given on the state found here
     try {
         const std::optional<Identity> identity = readIdentity();
         mayHaveVoted = identity ? identity->ready || identity->stateWasLost : stateDirectoryHasFiles();
@@ -86,8 +86,9 @@
                        [](const auto& name) { return name != "." && name != ".."; });
 }
 
-// The new identity is durable, as one being made, before the old state goes: whatever dies between finds that
-// a state was lost here. It is ready only behind a state that holds its name.
+// The new identity is written durably, marked as not ready, before the old state is removed: after a crash
+// in between the next start still sees that a state was lost. It becomes ready only once the state holds
+// the same incarnation.
 void Disk::createState() {
     db_.reset();
     writeIdentity();
@@ -117,10 +118,11 @@
     const DiskRecords records = readAll();
     const auto found = records.find(std::string(incarnationRecord));
     if (found == records.end() || found->second != identity_.incarnation)
-        throw DiskError(DiskFault::lost, "the state is not that of its identity");
+        throw DiskError(DiskFault::lost, "the state belongs to another incarnation");
 }
 
-// LevelDB takes a torn write for damage, unless it is a mere cut. What was not synced was promised to nobody.
+// LevelDB treats a torn write as corruption unless the file just ends early. Truncating it is safe: nothing
+// unsynced was ever acknowledged.
 void Disk::truncateTornTails() {
     std::vector<std::string> names;
     throwIfFailed(env_.GetChildren(statePath(), &names));
@@ -128,7 +130,7 @@
         if (isLogFile(name)) truncateTornTail(statePath() + "/" + name);
     std::string current;
     throwIfFailed(leveldb::ReadFileToString(&env_, statePath() + "/CURRENT", &current));
-    if (current.empty() || current.back() != '\n') throw DiskError(DiskFault::lost, "CURRENT is not whole");
+    if (current.empty() || current.back() != '\n') throw DiskError(DiskFault::lost, "CURRENT is truncated");
     current.pop_back();
     truncateTornTail(statePath() + "/" + current);
 }
@@ -137,7 +139,7 @@
     std::string content;
     throwIfFailed(leveldb::ReadFileToString(&env_, path, &content));
     const LogTail found = inspectLog(content);
-    if (found.tail == TailState::corrupt) throw DiskError(DiskFault::lost, path + " is damaged");
+    if (found.tail == TailState::corrupt) throw DiskError(DiskFault::lost, path + " is corrupt");
     if (found.tail == TailState::torn)
         throwIfFailed(replaceFile(env_, path, content.substr(0, found.validBytes)));
 }
@@ -179,11 +181,12 @@
     leveldb::WriteOptions writeOptions;
     writeOptions.sync = true;
     const leveldb::Status status = db_->Write(writeOptions, &batch);
-    // Whatever the cause, the store is opened again before it is trusted: that tells whether it is lost.
+    // Whatever the cause, the database is reopened before it is trusted again; that shows whether data was
+    // lost.
     if (!status.ok()) throw DiskError(DiskFault::ioError, status.ToString());
 }
 
-// LevelDB keeps the error of a write and takes nothing more; the cause may be over.
+// LevelDB keeps a write error and rejects all further writes, even after the cause is gone.
 void Disk::reopen() {
     db_.reset();
     openExisting();
--- a/src/control/disk.hpp
+++ b/src/control/disk.hpp
@@ -1,7 +1,8 @@
-// The state of a member on its disk: LevelDB in the folder "state", and beside it the files "identity", which
-// says whose state that is, and "logs", which says what logs belong to it. The state opens cleanly under its
-// identity or it counts as lost: it is then removed, and the member goes on as another, with an empty disk.
-// docs/control-safety/disk.md has the argument.
+// The persistent state of a member: LevelDB in the directory "state", and beside it the files "identity"
+// (whose state it is) and "logs" (which log files belong to it). A state that does not open cleanly under
+// its identity counts as lost: it is removed, and the member continues under a new incarnation with an
+// empty disk. Voting on a state that silently lost promises could let two values be chosen. See
+// docs/control-safety/disk.md.
 #pragma once
 
 #include <functional>
@@ -20,10 +21,10 @@
 
 namespace granitereel::control {
 
-// Records by name. A later write of a name replaces an earlier one.
+// Records by name. A later write replaces an earlier one of the same name.
 using DiskRecords = std::map<std::string, nlohmann::json>;
 
-// Where the files are: the machine's own, or a stand-in's.
+// The file system in use: the machine's own or a test double.
 struct DiskBackend {
     leveldb::Env* env = nullptr;
     DirectorySync syncDirectory;
@@ -32,37 +33,37 @@
 
 class Disk {
 public:
-    // A name that no earlier life of this or another member has had.
+    // Returns a name that no earlier incarnation of any member has had.
     using GenerateIncarnation = std::function<std::string()>;
 
-    // Opens the state under the folder, which is made if it is missing. Throws DiskError (refuses) where the
-    // disk takes no bytes: what it holds is as it was.
+    // Opens the state in the directory, which is created if missing. Throws DiskError (ioError) if the disk
+    // does not accept writes; its content is unchanged then.
     Disk(std::string directory, DiskBackend backend, GenerateIncarnation generate);
     ~Disk();
 
     const std::string& incarnation() const { return identity_.incarnation; }
-    // Whether a state once stood here and was lost (afterLossRecord).
+    // Whether an earlier state here was lost (afterLossRecord).
     bool stateWasLost() const { return identity_.stateWasLost; }
 
     // Throws DiskError.
     DiskRecords readAll() const;
-    // All of them in one write with one sync: on disk when it returns. Throws DiskError (refuses); whether
-    // they are on disk is then open, and nothing more is taken before `reopen`.
+    // Writes all records in one batch with one sync; they are durable when it returns. Throws DiskError
+    // (ioError); it is then unknown whether they are durable, and nothing more is accepted before `reopen`.
     void write(const DiskRecords& records);
-    // After a write that was refused. Throws DiskError: refuses, if it still does; lost, if what was written
-    // before can't be shown to stand.
+    // Recovers from a failed write. Throws DiskError: ioError if the disk still fails; lost if earlier
+    // synced writes are not provably intact.
     void reopen();
 
 private:
     struct Identity {
-        bool ready = false;  // false: being made, nothing was promised under it yet
+        bool ready = false;  // false: still being created, no vote was given under it
         bool stateWasLost = false;
         std::string incarnation;
     };
     std::string statePath() const { return directory_ + "/state"; }
     std::string identityPath() const { return directory_ + "/identity"; }
     void createDirectory();
-    // None where there is no such file. Throws DiskError (lost) where it can't be understood.
+    // Nothing if the file is missing. Throws DiskError (lost) if it is malformed.
     std::optional<Identity> readIdentity();
     void writeIdentity();
     bool stateDirectoryHasFiles();
--- a/src/control/disk_error.hpp
+++ b/src/control/disk_error.hpp
@@ -1,4 +1,4 @@
-// What can be wrong with a member's disk.
+// Errors of a member's disk.
 #pragma once
 
 #include <stdexcept>
@@ -7,8 +7,8 @@
 namespace granitereel::control {
 
 enum class DiskFault {
-    ioError,  // it takes or gives no bytes now, and may later; what was synced stands
-    lost,     // what was synced can't be shown to stand
+    ioError,  // reads or writes fail now and may succeed later; synced data is intact
+    lost,     // synced data is not provably intact
 };
 
 class DiskError : public std::runtime_error {
--- a/src/control/disk_health.cpp
+++ b/src/control/disk_health.cpp
@@ -18,10 +18,10 @@
     const DiskHealth before = health_;
     if (health == before) return std::nullopt;
     health_ = health;
-    if (before == DiskHealth::ok) unwellSince_ = now;
+    if (before == DiskHealth::ok) unhealthySince_ = now;
     if (health != DiskHealth::ok)
         return std::string("the disk is unwell: ") + toString(health) + "; no vote until it is well";
-    return "the disk is well again after " + std::to_string((now - unwellSince_) / millis(1)) + " ms";
+    return "the disk is well again after " + std::to_string((now - unhealthySince_) / millis(1)) + " ms";
 }
 
 }  // namespace granitereel::control
--- a/src/control/disk_health.hpp
+++ b/src/control/disk_health.hpp
@@ -1,4 +1,4 @@
-// How a member's disk does, as its process sees it. Free of I/O and clocks.
+// Health of a member's disk as its process sees it. Free of I/O and clocks.
 #pragma once
 
 #include <optional>
@@ -10,34 +10,34 @@
 
 enum class DiskHealth {
     ok,
-    slow,     // a write has waited for its sync for `slowDiskAfter`
+    slow,     // a write has waited for its sync for `slowSyncThreshold`
     refuses,  // a write failed, and none has been synced since
 };
 const char* toString(DiskHealth health);
 
-// An answer that waits longer for its sync comes when nobody waits for it any more: a change is given up by
-// its proposer after 900 ms (ControlMember).
+// A reply that waits longer for its sync arrives too late: the proposer gives up a change after 900 ms
+// (ControlMember).
 constexpr Nanos slowSyncThreshold = millis(900);
-// A member whose disk is unwell for longer hands its duties on. With `slowDiskAfter` before it, a single slow
-// sync moves no duty.
-constexpr Nanos maxUnwellTimeOfOwner = millis(600);
+// A member whose disk is unhealthy for longer hands its failover ownership over. Together with
+// `slowSyncThreshold` this keeps a single slow sync from moving it.
+constexpr Nanos maxUnhealthyTimeOfOwner = millis(600);
 
-// What a member makes of the health of its disk.
+// Tracks the health of the disk and decides what the member may do.
 class DiskHealthMonitor {
 public:
-    // Returns the log's line where the health became another.
+    // Returns a log line when the health has changed.
     std::optional<std::string> update(DiskHealth health, Nanos now);
     DiskHealth health() const { return health_; }
-    // Whether a vote may be given: not while its reply would have to wait for the disk to get well.
+    // Whether the member may vote: not while the reply would have to wait for the disk to recover.
     bool mayVote() const { return health_ == DiskHealth::ok; }
-    // Whether the member may own duties.
+    // Whether the member may own the failover of services.
     bool mayOwnFailover(Nanos now) const {
-        return health_ == DiskHealth::ok || now - unwellSince_ < maxUnwellTimeOfOwner;
+        return health_ == DiskHealth::ok || now - unhealthySince_ < maxUnhealthyTimeOfOwner;
     }
 
 private:
     DiskHealth health_ = DiskHealth::ok;
-    Nanos unwellSince_ = 0;
+    Nanos unhealthySince_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/disk_writer.hpp
+++ b/src/control/disk_writer.hpp
@@ -1,5 +1,6 @@
-// Writes a member's records to its disk on a thread of its own, so that a disk that hangs, is slow or refuses
-// stops nothing else. One write at a time; all records that wait go into the next one, with one sync.
+// Writes the records of a member to disk on a separate thread, so that a disk that hangs, is slow or fails
+// blocks nothing else. One write at a time; all records that are pending go into the next write, with one
+// sync.
 #pragma once
 
 #include <chrono>
@@ -17,8 +18,8 @@
 struct DiskReport {
     enum class Event {
         durable,      // every record up to `ticket` is synced
-        writeFailed,  // a write failed; it is tried again until it is synced
-        lost,         // what was synced before can't be shown to stand: nothing more is written
+        writeFailed,  // a write failed; it is retried until it is synced
+        lost,         // synced data is not provably intact: nothing more is written
     };
     Event event = Event::durable;
     std::uint64_t ticket = 0;
@@ -29,26 +30,26 @@
 public:
     // Called on the writer's thread.
     using Report = std::function<void(DiskReport)>;
-    // How long after a refusal the state is opened again.
+    // Delay before the state is reopened after a failed write.
     static constexpr std::chrono::milliseconds defaultRetryDelay{250};
 
     DiskWriter(std::unique_ptr<Disk> disk, Report report,
                std::chrono::milliseconds retryDelay = defaultRetryDelay);
     ~DiskWriter();
 
-    // Records up to and with the one of this ticket. Does not wait.
+    // Queues the records up to and including this ticket. Does not block.
     void submit(const DiskRecords& records, std::uint64_t ticket);
-    // What waits is not written any more. Returns whether the thread ended in time; where it didn't, since
-    // the disk hangs, the process can only be ended without its destructors.
+    // Pending records are dropped. Returns whether the thread ended in time; if not, the disk hangs and the
+    // process can only exit without running destructors.
     bool stop(std::chrono::milliseconds timeout);
 
 private:
     void run();
-    bool takeBatch();   // false: told to stop
-    bool writeBatch();  // false: refused, or told to stop
-    // Opens the state again until it takes the batch; false: lost, or told to stop.
+    bool takeBatch();   // false: stopping
+    bool writeBatch();  // false: the write failed
+    // Reopens the state until the batch is written; false: state lost, or stopping.
     bool reopenAndRetry();
-    bool waitBeforeRetry();  // false: told to stop
+    bool waitBeforeRetry();  // false: stopping
 
     const std::unique_ptr<Disk> disk_;
     const Report report_;
@@ -58,7 +59,7 @@
     DiskRecords pending_;
     std::uint64_t pendingTicket_ = 0;
     bool stopping_ = false, ended_ = false;
-    DiskRecords batch_;  // the thread's own: being written, kept until it is synced
+    DiskRecords batch_;  // used by the thread only: being written, kept until it is synced
     std::uint64_t batchTicket_ = 0;
     std::thread thread_;
 };
--- a/src/control/durability_gate.hpp
+++ b/src/control/durability_gate.hpp
@@ -1,4 +1,5 @@
-// Holds back what must not leave before the writes in front of it are synced. Free of I/O and clocks.
+// Holds back outputs until all earlier writes are synced. A vote that left before its sync could be lost in
+// a crash after a majority has counted it. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +14,14 @@
 
 class DurabilityGate {
 public:
-    // A write is handed to the disk; returns its ticket. Tickets rise by one.
+    // Registers a write handed to the disk and returns its ticket. Tickets increase by one.
     std::uint64_t recordWrite(Nanos now);
-    // Takes an output that depends on the writes before it where one of them is not synced; returns whether
-    // it was taken.
+    // Takes over an output that depends on earlier writes of which one is not synced; returns whether it
+    // did.
     bool hold(Output& output);
-    // Every write up to the ticket is synced: what may leave now, in its order.
+    // All writes up to the ticket are synced: returns the outputs that may leave now, in order.
     Outputs release(std::uint64_t ticket);
-    // When the oldest write that isn't synced was handed over; `now` where there is none.
+    // When the oldest unsynced write was handed over; `now` if there is none.
     Nanos oldestPendingWriteAt(Nanos now) const {
         return unsyncedWrites_.empty() ? now : unsyncedWrites_.begin()->second;
     }
--- a/src/control/durable_env.cpp
+++ b/src/control/durable_env.cpp
@@ -84,7 +84,7 @@
 leveldb::Status replaceFile(DurableEnv& env, const std::string& path, const std::string& content) {
     const std::string temporary = path + ".new";
     leveldb::WritableFile* opened = nullptr;
-    // Whether the temporary name lasts matters to nobody: its folder is synced behind the rename.
+    // The temporary name need not be durable: its directory is synced after the rename.
     leveldb::Status status = env.target()->NewWritableFile(temporary, &opened);
     if (!status.ok()) return status;
     const std::unique_ptr<leveldb::WritableFile> file(opened);
--- a/src/control/durable_env.hpp
+++ b/src/control/durable_env.hpp
@@ -1,6 +1,6 @@
-// LevelDB's environment with the folder of a file synced after each change of its names: after a loss of
-// power a file that was made, renamed or removed without it may be kept or lost by itself, whatever its
-// content's own sync.
+// LevelDB environment that syncs the directory of a file after each change of its entries. Without it,
+// power loss may keep or lose a created, renamed or removed file independently of whether its content was
+// synced.
 #pragma once
 
 #include <leveldb/env.h>
@@ -12,21 +12,21 @@
 
 namespace granitereel::control {
 
-// Makes the names in a folder durable.
+// Makes the entries of a directory durable.
 using DirectorySync = std::function<leveldb::Status(const std::string& directory)>;
 
-// fsync(2) of the folder.
+// fsync(2) of the directory.
 leveldb::Status syncDirectory(const std::string& directory);
 
-// The folder that a file or folder is named in.
+// The directory that contains the file or directory.
 std::string parentDirectory(const std::string& path);
 
-// A name that was made, renamed or removed is durable when the call has succeeded. After a rename whose sync
-// failed there is no way back, and LevelDB removes the file that CURRENT may already lead to: so nothing is
-// made, renamed or removed before that folder is synced.
+// A created, renamed or removed entry is durable when the call succeeds. A rename whose directory sync
+// failed cannot be undone, and LevelDB would then remove the file that CURRENT may already point to. So no
+// file is created, renamed or removed before that directory is synced.
 class DurableEnv : public leveldb::EnvWrapper {
 public:
-    // `target` outlives this; it is given back by LevelDB's EnvWrapper::target().
+    // `target` must outlive this object; EnvWrapper::target() returns it.
     DurableEnv(leveldb::Env& target, DirectorySync syncFunction);
 
     leveldb::Status NewWritableFile(const std::string& path, leveldb::WritableFile** made) override;
@@ -37,20 +37,20 @@
     leveldb::Status RemoveDir(const std::string& path) override;
 
 private:
-    // Syncs the folder of a rename, now or when it is tried again.
+    // Syncs the directory of the last rename, now or on a retry.
     leveldb::Status syncPendingRename();
-    // A changed name is durable, or the call failed.
+    // Syncs the parent directory if the operation succeeded; returns the first error.
     leveldb::Status syncParent(const leveldb::Status& operationStatus, const std::string& path);
     const DirectorySync syncDirectory_;
-    std::mutex mutex_;               // LevelDB compacts on a thread of its own
-    std::string unsyncedDirectory_;  // the folder of such a rename; empty: none
+    std::mutex mutex_;               // LevelDB compacts on its own thread
+    std::string unsyncedDirectory_;  // directory of a rename that is not synced yet; empty: none
 };
 
-// Writes a small file whole: afterwards the path holds either what it held before or the new content, also
-// after a loss of power.
+// Replaces a small file atomically: afterwards the path holds either the old or the new content, also after
+// power loss.
 leveldb::Status replaceFile(DurableEnv& env, const std::string& path, const std::string& content);
 
-// A log of LevelDB's own doings that keeps nothing: no file, no bytes.
+// A LevelDB info log that discards everything.
 std::unique_ptr<leveldb::Logger> nullLogger();
 
 }  // namespace granitereel::control
--- a/src/control/graceful_shutdown.cpp
+++ b/src/control/graceful_shutdown.cpp
@@ -6,7 +6,7 @@
 namespace granitereel::control {
 
 namespace {
-// Asked again, as a link may have been made anew.
+// Repeats the request, as a link may have been replaced.
 constexpr Nanos flushRetryInterval = millis(300);
 }  // namespace
 
@@ -32,8 +32,8 @@
     if (flushing_ && reply.number >= firstFlushNumber_) flushed_.insert(voter);
 }
 
-void GracefulShutdown::proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send,
-                               Nanos now) {
+void GracefulShutdown::proceed(bool handedOver, const std::set<std::string>& reachableVoters,
+                               const Send& send, Nanos now) {
     if (!started_ || finished_) return;
     finished_ = now >= deadline_;
     if (!std::exchange(flushing_, handedOver) && flushing_) {
@@ -43,7 +43,7 @@
     }
     if (!flushing_) return;
     std::set<std::string> unflushed;
-    std::set_difference(votersInReach.begin(), votersInReach.end(), flushed_.begin(), flushed_.end(),
+    std::set_difference(reachableVoters.begin(), reachableVoters.end(), flushed_.begin(), flushed_.end(),
                         std::inserter(unflushed, unflushed.end()));
     if (unflushed.empty()) finished_ = true;
     if (finished_ || now - lastRequestAt_ < flushRetryInterval) return;
--- a/src/control/graceful_shutdown.hpp
+++ b/src/control/graceful_shutdown.hpp
@@ -1,6 +1,6 @@
-// A member that was told to end hands over first: its duties pass on, calls are sent elsewhere, each voter in
-// reach acknowledges all that was sent to it before, and its vote goes where another is there for it. Then,
-// or once the bound has passed, it may end. Free of I/O, clocks and chance.
+// Graceful shutdown of a member: its failover ownership passes to others, calls are redirected, every
+// reachable voter acknowledges all earlier messages, and its vote is given up if another member can take
+// it. The process may end then, or when the timeout has passed. Free of I/O, clocks and randomness.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace granitereel::control {
 
-// Links keep their order: the answer shows that all that was sent before the question has been taken in.
+// Links are ordered: the reply proves that everything sent before the request was processed.
 struct FlushRequest {
     std::uint64_t number = 0;
     Json toJson() const;
@@ -28,21 +28,21 @@
 public:
     using Send = std::function<void(const std::string& voter, Json message)>;
 
-    // `within`: it ends by then, whatever is left.
+    // `timeout`: the shutdown finishes by then, even if it is incomplete.
     void begin(Nanos timeout, Nanos now);
     bool started() const { return started_; }
     bool finished() const { return finished_; }
     void handleReply(const std::string& voter, const FlushReply& reply);
-    // `handedOver`: no call is in hand, and the vote has gone or stays. What was sent until then is flushed
-    // to the voters in reach; where there is more to hand over after all, it is flushed again.
-    void proceed(bool handedOver, const std::set<std::string>& votersInReach, const Send& send, Nanos now);
+    // `handedOver`: no call is in progress, and the vote has moved or will stay. Everything sent until then
+    // is flushed to the reachable voters; if more work appears afterwards, the flush starts again.
+    void proceed(bool handedOver, const std::set<std::string>& reachableVoters, const Send& send, Nanos now);
 
 private:
     bool started_ = false, finished_ = false;
     bool flushing_ = false;
     std::set<std::string> flushed_;
     std::uint64_t lastRequestNumber_ = 0,
-                  firstFlushNumber_ = 0;  // of the questions; firstNumber_: of this flush
+                  firstFlushNumber_ = 0;  // firstFlushNumber_: first request of the current flush
     Nanos deadline_ = 0, lastRequestAt_ = 0;
 };
 
--- a/src/control/log_list_env.cpp
+++ b/src/control/log_list_env.cpp
@@ -32,7 +32,7 @@
     next.insert(name);
     std::string text;
     for (const std::string& each : next) text += each + "\n";
-    // Either list may stand until the call has succeeded.
+    // Either list may be on disk until the call has succeeded.
     listed_.insert(name);
     leveldb::Status status = replaceFile(*this, listPath_, text);
     if (!status.ok()) return status;
@@ -60,10 +60,11 @@
     std::istringstream lines(text);
     std::set<std::string> found;
     for (std::string name; std::getline(lines, name);) {
-        if (!FileExists(stateDirectory_ + "/" + name)) return leveldb::Status::Corruption("no log", name);
+        if (!FileExists(stateDirectory_ + "/" + name))
+            return leveldb::Status::Corruption("log file is missing", name);
         found.insert(name);
     }
-    if (found.empty()) return leveldb::Status::Corruption("no log is listed");
+    if (found.empty()) return leveldb::Status::Corruption("the log list is empty");
     const std::lock_guard<std::mutex> lock(listMutex_);
     listed_ = std::move(found);
     obsolete_.clear();
--- a/src/control/log_list_env.hpp
+++ b/src/control/log_list_env.hpp
@@ -1,8 +1,9 @@
-// Keeps a list of LevelDB's logs beside its state, so that a log that is gone is missed.
+// Keeps a list of LevelDB's log files beside the state, so that a missing log is detected.
 //
-// LevelDB opens without complaint where a log is gone, with the state as it was before that log. The list is
-// durable before the first write to a new log, and a log that is listed is not removed: LevelDB asks again
-// after the next log has been made, whose list leaves it out.
+// LevelDB opens without an error if a log file is missing, with the state as of before that log;
+// acknowledged votes would be forgotten. The list is durable before the first write to a new log, and a
+// listed log is not removed: LevelDB asks again after it has created the next log, whose list omits the old
+// one.
 #pragma once
 
 #include <mutex>
@@ -16,21 +17,22 @@
 
 class LogListEnv : public DurableEnv {
 public:
-    // `folder`: of the state; `list`: path of the list. `target` outlives this.
+    // `stateDirectory`: directory of the database; `listPath`: path of the list. `target` must outlive this
+    // object.
     LogListEnv(leveldb::Env& target, DirectorySync syncFunction, std::string stateDirectory,
                std::string listPath);
 
     leveldb::Status NewWritableFile(const std::string& path, leveldb::WritableFile** made) override;
     leveldb::Status RemoveFile(const std::string& path) override;
 
-    // Reads the list. Not found where there is none; corruption where a log that it names is gone.
+    // Reads the list. NotFound if there is none; Corruption if a listed log is missing.
     leveldb::Status verifyListedLogs();
-    // The state and its logs are about to be removed.
+    // Empties the list before the state and its logs are removed.
     void clearList();
 
 private:
     leveldb::Status addToList(const std::string& name);
-    // The name of a log in the folder; none for other files.
+    // The name of a log file in the state directory; nothing for other files.
     std::optional<std::string> logName(const std::string& path) const;
 
     const std::string stateDirectory_, listPath_;
--- a/src/control/log_tail.cpp
+++ b/src/control/log_tail.cpp
@@ -29,7 +29,7 @@
     return ~crc;
 }
 
-// The format masks its checksums, since data may itself hold checksums.
+// The format masks checksums because the data may itself contain checksums.
 std::uint32_t masked(std::uint32_t crc) {
     constexpr std::uint32_t maskDelta = 0xa282ead8;
     return ((crc >> 15) | (crc << 17)) + maskDelta;
@@ -45,39 +45,39 @@
 struct Record {
     bool valid = false;
     unsigned type = 0;
-    std::size_t end = 0;  // where the next one would begin, as its length has it
+    std::size_t end = 0;  // offset of the next record according to the length field
 };
 
-// The next place where a record may begin: the last bytes of a block are too few for a header.
-std::size_t recordStart(std::size_t at) {
-    const std::size_t left = blockBytes - at % blockBytes;
-    return left < headerBytes ? at + left : at;
+// The next offset at which a record may start: the last bytes of a block are too few for a header.
+std::size_t recordStart(std::size_t offset) {
+    const std::size_t left = blockBytes - offset % blockBytes;
+    return left < headerBytes ? offset + left : offset;
 }
 
-Record recordAt(std::string_view log, std::size_t at) {
+Record recordAt(std::string_view log, std::size_t offset) {
     Record record;
-    if (at + headerBytes > log.size()) return record;
-    const std::size_t length = littleEndian(log.substr(at + checksumBytes, 2));
-    record.type = static_cast<unsigned char>(log[at + headerBytes - 1]);
-    record.end = at + headerBytes + length;
+    if (offset + headerBytes > log.size()) return record;
+    const std::size_t length = littleEndian(log.substr(offset + checksumBytes, 2));
+    record.type = static_cast<unsigned char>(log[offset + headerBytes - 1]);
+    record.end = offset + headerBytes + length;
     if (record.type < full || record.type > last) return record;
-    if (at % blockBytes + headerBytes + length > blockBytes || record.end > log.size()) return record;
-    const std::string_view typeAndData = log.substr(at + headerBytes - 1, length + 1);
-    record.valid = masked(crc32c(typeAndData)) == littleEndian(log.substr(at, checksumBytes));
+    if (offset % blockBytes + headerBytes + length > blockBytes || record.end > log.size()) return record;
+    const std::string_view typeAndData = log.substr(offset + headerBytes - 1, length + 1);
+    record.valid = masked(crc32c(typeAndData)) == littleEndian(log.substr(offset, checksumBytes));
     return record;
 }
 
-// Whether a further write's first record stands somewhere behind a bad one.
-bool hasLaterWrite(std::string_view log, std::size_t badRecordAt) {
-    std::size_t block = badRecordAt - badRecordAt % blockBytes;
-    // Within the bad record's block only its length tells where the next one is.
-    std::size_t at = recordAt(log, badRecordAt).end;
-    if (at <= badRecordAt || at > block + blockBytes) at = block + blockBytes;
-    while (at < log.size()) {
-        at = recordStart(at);
-        const Record record = recordAt(log, at);
+// Whether the first record of a later write follows the invalid record.
+bool hasLaterWrite(std::string_view log, std::size_t badOffset) {
+    std::size_t block = badOffset - badOffset % blockBytes;
+    // Within the block of the invalid record only its length field tells where the next record starts.
+    std::size_t offset = recordAt(log, badOffset).end;
+    if (offset <= badOffset || offset > block + blockBytes) offset = block + blockBytes;
+    while (offset < log.size()) {
+        offset = recordStart(offset);
+        const Record record = recordAt(log, offset);
         if (record.valid && (record.type == full || record.type == first)) return true;
-        at = record.valid ? record.end : at - at % blockBytes + blockBytes;
+        offset = record.valid ? record.end : offset - offset % blockBytes + blockBytes;
     }
     return false;
 }
@@ -85,17 +85,17 @@
 
 LogTail inspectLog(std::string_view log) {
     LogTail result;
-    bool insideWrite = false;  // between a write's first record and its last
-    for (std::size_t at = recordStart(0); at < log.size(); at = recordStart(at)) {
-        const Record record = recordAt(log, at);
+    bool insideWrite = false;  // between the first and the last record of a write
+    for (std::size_t offset = recordStart(0); offset < log.size(); offset = recordStart(offset)) {
+        const Record record = recordAt(log, offset);
         const bool startsWrite = record.type == full || record.type == first;
         if (!record.valid || startsWrite == insideWrite) {
-            result.tail = hasLaterWrite(log, at) ? TailState::corrupt : TailState::torn;
+            result.tail = hasLaterWrite(log, offset) ? TailState::corrupt : TailState::torn;
             return result;
         }
-        at = record.end;
+        offset = record.end;
         insideWrite = record.type == first || record.type == middle;
-        if (!insideWrite) result.validBytes = at;
+        if (!insideWrite) result.validBytes = offset;
     }
     result.tail = insideWrite || result.validBytes < log.size() ? TailState::torn : TailState::intact;
     return result;
--- a/src/control/log_tail.hpp
+++ b/src/control/log_tail.hpp
@@ -1,10 +1,9 @@
-// Whether the end of one of LevelDB's logs is a write that a loss of power tore, or damage to what was
-// synced.
+// Tells whether the end of a LevelDB log is a write torn by power loss, or corruption of synced data.
 //
-// LevelDB's published log format (doc/log_format.md): blocks of 32 KiB; in them records of a checksum
-// (masked CRC-32C of type and data, 4 bytes), a length (2 bytes), a type (full, first, middle, last) and the
-// data. Each write here is synced before the next is begun, so that only the last record can be unsynced:
-// what is bad there and followed by nothing sound is a torn write, and no more than that is missing.
+// LevelDB's published log format (doc/log_format.md): blocks of 32 KiB, which contain records of a checksum
+// (masked CRC-32C of type and data, 4 bytes), a length (2 bytes), a type (full, first, middle, last) and
+// the data. Each write is synced here before the next one starts, so only the last record can be unsynced:
+// an invalid record with nothing valid after it is a torn write, and nothing else is missing.
 #pragma once
 
 #include <cstddef>
@@ -13,14 +12,14 @@
 namespace granitereel::control {
 
 enum class TailState {
-    intact,   // every record is sound
-    torn,     // the last write is incomplete: cut off behind `sound`, the log is whole
-    corrupt,  // a bad record stands before a sound one: something that was synced is gone
+    intact,   // every record is valid
+    torn,     // the last write is incomplete; truncated to `validBytes`, the log is intact
+    corrupt,  // an invalid record is followed by a valid one: synced data is gone
 };
 
 struct LogTail {
     TailState tail = TailState::intact;
-    std::size_t validBytes = 0;  // bytes up to the end of the last sound record before the first bad one
+    std::size_t validBytes = 0;  // up to the end of the last valid record before the first invalid one
 };
 
 LogTail inspectLog(std::string_view log);
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -8,13 +8,13 @@
 namespace granitereel::control {
 
 namespace {
-// Rounds of the lease: three fit into one, so that one lost message does not end it.
+// Interval of lease rounds: three fit into one lease, so that a single lost message does not end it.
 constexpr Nanos leaseRoundInterval = millis(200);
-// An accepted value that nobody has said to stand is settled after this.
+// An accepted value that nobody has published is resolved after this time.
 constexpr Nanos unpublishedTimeout = millis(250);
-// After a start nothing has been said yet, and everyone waits for it.
+// Nothing is published yet after a start, and all members wait for it.
 constexpr Nanos unpublishedTimeoutAtStart = millis(50);
-// A member that was told to end is gone after this part of guarantees.grace_s, whatever is left to hand over.
+// A shutdown takes at most this fraction of guarantees.grace_s, whatever is left to hand over.
 constexpr int shutdownGraceDivisor = 3;
 
 ProposerId proposerOf(const settings::Settings& settings, const std::string& incarnation,
@@ -24,7 +24,7 @@
             found == disk.end() ? 0 : found->second.get<std::uint64_t>()};
 }
 
-// A span told in microseconds; 0 where it is not.
+// A duration given in microseconds; 0 if the field is missing.
 Nanos durationField(const Json& message, const char* field) {
     return message.value(field, Nanos(0)) * 1000;
 }
@@ -43,7 +43,8 @@
       membership_(self_, settings_, *this, now),
       recovery_(now + earlierRequestLifetime),
       startedAt_(now),
-      // Steady time of the start: no link outlives the process, so it need differ only while one is open.
+      // The start time on the steady clock identifies this process. No link outlives the process, so it
+      // must only be unique while one is open.
       stores_(self_, self_ + "/" + std::to_string(now), settings.beatInterval_ms, *this, now),
       operatorCalls_(*this),
       calls_(*this, stores_, operatorCalls_) {
@@ -62,17 +63,18 @@
         proposer_.setVoters(voterSet_, now);
         membership_.adopt(voterSet_, now);
     } else if (settings_.firstBoot && !disk.count(std::string(afterLossRecord))) {
-        // All processes get the same seeds at the first start: they found the core, each by itself and alike.
+        // All processes get the same seeds at the first start, so each founds an identical voter set by
+        // itself.
         outputs_.push_back(
             ToLog{"founding the core with " + std::to_string(settings_.seeds.size()) + " voters"});
         adoptVoterSet({1, {settings_.seeds.begin(), settings_.seeds.end()}});
     } else {
         recovering_ = true;
-        outputs_.push_back(ToLog{"no state on disk: asking the core for it"});
+        outputs_.push_back(ToLog{"no state on disk: reading it from the voters"});
     }
 }
 
-// Of two cores the later epoch holds, from the disk's sync on.
+// The voter set of the later epoch wins. Replies given under it leave only after it is synced.
 void ControlMember::adoptVoterSet(VoterSet voterSet) {
     if (voterSet.epoch <= voterSet_.epoch) return;
     voterSet_ = std::move(voterSet);
@@ -85,7 +87,7 @@
 
 std::set<std::string> ControlMember::membersToDial() const {
     std::set<std::string> members = voterSet_.voters;
-    // Who does not vote may have missed who does: the seeds know.
+    // A member without a vote may not know the current voters; the seeds do.
     if (!voterSet_.voters.count(self_)) members.insert(settings_.seeds.begin(), settings_.seeds.end());
     members.erase(self_);
     return members;
@@ -99,7 +101,7 @@
 
 void ControlMember::linkUp(int link, const std::string& dialled, Nanos) {
     peers_[link].dialled = dialled;
-    if (dialled.empty()) return;  // who comes speaks first
+    if (dialled.empty()) return;  // the connecting side sends the first hello
     send(link, Hello{Hello::memberSender, self_, settings_.station, "", incarnation_, {}}.toJson());
     gossip_.join(link, board::Side::dialler, dialled);
     proposer_.linkUp(dialled);
@@ -107,11 +109,11 @@
 }
 
 void ControlMember::linkDown(int link, Nanos now) {
-    const auto at = peers_.find(link);
-    if (at == peers_.end()) return;
-    const std::string dialled = at->second.dialled;
+    const auto found = peers_.find(link);
+    if (found == peers_.end()) return;
+    const std::string dialled = found->second.dialled;
     if (linkTo(dialled) == link) calls_.contacts().remove(dialled);
-    peers_.erase(at);
+    peers_.erase(found);
     gossip_.leave(link);
     if (dialled.empty()) return;
     lastContact_[dialled] = now;
@@ -130,7 +132,7 @@
 }
 
 namespace {
-// The version under which a register's value is a record for all.
+// Version of the record that publishes a value of the register.
 board::Version versionOf(const std::string& name, const Json& value) {
     const char* const field = name == "config" ? "edition" : name == "core" ? "epoch" : "seq";
     return {value.at(field).get<std::uint64_t>(), 0};
@@ -142,8 +144,8 @@
     return record && record->version >= versionOf(name, value);
 }
 
-// What was accepted here is announced once its own version or a later one is a record; news of an earlier one
-// says nothing of it.
+// An accepted value counts as published once a record has its version or a later one; a record of an
+// earlier version proves nothing about it.
 void ControlMember::clearIfPublished(const std::string& name) {
     const auto found = unpublished_.find(name);
     if (found == unpublished_.end()) return;
@@ -151,14 +153,14 @@
     if (value.is_null() || isPublished(name, value)) unpublished_.erase(found);
 }
 
-// A register's value that is known to stand becomes a record for all.
+// Publishes a chosen value of a register as a record for all.
 void ControlMember::publishChosen(const std::string& name, const Json& value) {
     if (value.is_null()) return;
     const Json body = name == "config" ? EditionLog::fromJson(value).configuration() : value;
     gossip_.put(name, {versionOf(name, value), body});
 }
 
-// How many voters in reach come before this one: what any may do the first does, the next if it has not.
+// Number of reachable voters that act before this one: each voter acts only if those before it have not.
 std::size_t ControlMember::turnOrder() const {
     std::size_t before = 0;
     for (const std::string& voter : voterSet_.voters) {
@@ -232,7 +234,7 @@
     }
 }
 
-// The other side of a link says who it is, and hears the same where it dialled.
+// Handles the hello of the other side, and replies with one if the other side dialled.
 void ControlMember::handleHello(int link, Peer& peer, const Hello& hello, Nanos now) {
     peer.kind = hello.sender;
     peer.station = hello.station;
@@ -253,7 +255,7 @@
     gossip_.join(link, board::Side::acceptor, peer.member);
 }
 
-// A member asks for its lease.
+// Another member asks for its lease.
 void ControlMember::handleLeaseRequest(int link, const Peer& peer, const Json& message, Nanos now) {
     const LeaseQuestion question = LeaseQuestion::fromJson(message);
     if (!peer.member.empty())
@@ -263,7 +265,7 @@
                                  board::configurationVersion(board())};
         send(link, withLeaseLeft(answer.toJson()));
     }
-    // Who was cut off during a change of voters is told of it.
+    // A member that was cut off during a change of voters learns the current voter set.
     if (question.epoch < voterSet_.epoch) send(link, CurrentVoterSet{voterSet_}.toJson());
 }
 
@@ -271,7 +273,8 @@
     calls_.contacts().update(peer.dialled, durationField(message, "lease_left_us"), now);
     const LeaseAnswer answer = LeaseAnswer::fromJson(message);
     unsettledPrimaries_.told(answer.unsettled, now);
-    // Before the exchange on this link is complete the voter may know of a change that this member doesn't.
+    // Until the record exchange on this link is complete, the voter may know of a change that this member
+    // does not. Counting its reply could start a lease on outdated records.
     if (!gossip_.complete(link)) return;
     if (const std::uint64_t held = board::configurationVersion(board()); held < answer.configuration) {
         reportViolation(newsBeforeLease_, "configuration " + std::to_string(held) + ", and " + peer.dialled +
@@ -285,7 +288,8 @@
     if (auto line = invariant.check(false, detail)) outputs_.push_back(ToLog{std::move(*line)});
 }
 
-// Another member reads what this one's disk holds: before a change of voters, or after the loss of its own.
+// Another member reads the slots on this disk: before a change of voters, or after the loss of its own
+// disk.
 void ControlMember::handleStateRequest(int link, const StateRequest& request) {
     adoptVoterSet(request.voterSet);
     if (request.voterSet.epoch < voterSet_.epoch) return send(link, CurrentVoterSet{voterSet_}.toJson());
@@ -310,14 +314,14 @@
         ToLog{hasVote() ? "the core's state is read; votes again" : "joined the core without a vote"});
 }
 
-// The highest epoch that the register of the core was accepted with, as far as this disk tells.
+// The highest epoch accepted for the register "core", as far as this disk knows.
 std::uint64_t ControlMember::newestAcceptedEpoch() {
     const Json& voterSet = acceptor_.slot("core").value;
     return voterSet.is_object() ? voterSet.at("epoch").get<std::uint64_t>() : 0;
 }
 
-// Asks the voters for what they hold. Where this member has no vote, only whether the epoch still stands is
-// of interest.
+// Requests the slots of the voters. A member without a vote only needs to know whether its epoch is still
+// current.
 void ControlMember::continueRecovery(Nanos now) {
     if (!recovering_ || !recovery_.shouldRequestNow(voterSet_, self_, now)) return;
     if (newestAcceptedEpoch() > voterSet_.epoch) resolveVoterSet(now);
@@ -326,10 +330,10 @@
         if (const int link = voter == self_ ? 0 : linkTo(voter)) send(link, request.toJson());
 }
 
-// A later epoch was accepted by some voter: it is found out whether it was chosen, and is so held by a
-// majority.
+// Some voter accepted a later epoch. Reads the register "core" with a forced accept phase, which settles
+// whether that epoch was chosen and puts the result on the disks of a majority.
 void ControlMember::resolveVoterSet(Nanos now) {
-    proposer_.begin({"core", [](const Json& was) { return was; },
+    proposer_.begin({"core", [](const Json& current) { return current; },
                      [this](std::optional<Json> chosen) {
                          if (chosen) publishChosen("core", *chosen);
                      },
@@ -340,7 +344,8 @@
 void ControlMember::handleVoteRequest(int link, const Json& message) {
     const VoteRequest request = VoteRequest::fromJson(message);
     adoptVoterSet(request.voterSet);
-    // An earlier epoch's majority may lack what was accepted since: its proposer is told the present one.
+    // Requests of an earlier epoch are not answered: their majority need not intersect the current one and
+    // may miss values accepted since. The proposer gets the current voter set instead.
     if (request.voterSet.epoch < voterSet_.epoch) {
         if (link) send(link, CurrentVoterSet{voterSet_}.toJson());
         return;
@@ -362,7 +367,7 @@
         outputs_.push_back(ToSelf{reply.toJson()});
 }
 
-// A value was accepted here; whether it is chosen is for a proposer to say.
+// Tracks an accepted value until it is published; only a proposer can tell whether it was chosen.
 void ControlMember::trackAccepted(const std::string& name) {
     const Json& value = acceptor_.slot(name).value;
     unsettledPrimaries_.holds(name, value);
@@ -380,12 +385,12 @@
         outputs_.push_back(ToLog{std::move(*line)});
 }
 
-bool ControlMember::hasUnwellDisk(const std::string& voter) const {
+bool ControlMember::hasUnhealthyDisk(const std::string& voter) const {
     const board::Record* record = board().find("member/" + voter);
     return record && record->body.is_object() && record->body.value("disk_unwell", false);
 }
 
-// What proposers of this member say goes to its own vote directly.
+// Requests of the own proposer go directly to the own acceptor.
 void ControlMember::sendProposerRequests(Nanos) {
     for (auto requests = proposer_.takeRequests(); !requests.empty(); requests = proposer_.takeRequests())
         for (auto& [to, message] : requests) {
@@ -429,22 +434,22 @@
     calls_.call(call, method, path, body, now);
 }
 
-// What was accepted here and is said by nobody to stand may have been chosen by a proposer that died before
-// it could say so; and after a start nobody has said anything. It is read by a majority, which settles it,
-// and told to all.
+// A value that was accepted here and is not published may have been chosen by a proposer that died before
+// it could publish it, and nothing is published after a start. Reads such registers by a majority, which
+// settles the value, and publishes it.
 void ControlMember::resolveUnpublished(Nanos now) {
     if (!voterSet_.epoch || recovering_ || now - lastResolveAt_ < millis(100)) return;
     lastResolveAt_ = now;
     std::vector<std::string> names;
-    const Nanos turn = unpublishedTimeout + static_cast<Nanos>(turnOrder()) * millis(300);
+    const Nanos resolveAfter = unpublishedTimeout + static_cast<Nanos>(turnOrder()) * millis(300);
     if (now - startedAt_ < millis(30'000))
         for (const auto& [name, slot] : acceptor_.slots())
             if (!slot.value.is_null() && !isPublished(name, slot.value))
                 unpublished_.try_emplace(name, now - unpublishedTimeout + unpublishedTimeoutAtStart);
     for (auto& [name, since] : unpublished_)
-        if (now - since >= turn) names.push_back(name), since = now;
+        if (now - since >= resolveAfter) names.push_back(name), since = now;
     for (const std::string& name : names)
-        proposer_.begin({name, [](const Json& was) { return was; },
+        proposer_.begin({name, [](const Json& current) { return current; },
                          [this, name](std::optional<Json> chosen) {
                              if (!chosen) return;
                              publishChosen(name, *chosen);
@@ -470,7 +475,7 @@
 }
 
 void ControlMember::reaccept(const std::string& name, std::function<void(bool accepted)> done) {
-    proposer_.begin({name, [](const Json& was) { return was; },
+    proposer_.begin({name, [](const Json& current) { return current; },
                      [this, name, done = std::move(done)](std::optional<Json> chosen) {
                          if (chosen) publishChosen(name, *chosen);
                          done(chosen.has_value());
@@ -483,9 +488,9 @@
     const Json wanted{{"epoch", next.epoch}, {"voters", next.voters}};
     proposer_.begin(
         {"core",
-         [wanted](const Json& was) {
-             const std::uint64_t epoch = was.is_object() ? was.at("epoch").get<std::uint64_t>() : 1;
-             return epoch + 1 == wanted.at("epoch") ? wanted : was;
+         [wanted](const Json& current) {
+             const std::uint64_t epoch = current.is_object() ? current.at("epoch").get<std::uint64_t>() : 1;
+             return epoch + 1 == wanted.at("epoch") ? wanted : current;
          },
          [this, wanted, done = std::move(done)](std::optional<Json> chosen) {
              if (chosen && !chosen->is_null()) {
@@ -510,15 +515,15 @@
     sendProposerRequests(now);
 }
 
-// Its vote has gone, or nothing that it sees speaks for another's having it.
+// The vote is settled once another member has it, or if this member sees none that could take it.
 void ControlMember::continueShutdown(Nanos now) {
     if (!shutdown_.started()) return;
     const bool voteSettled = !voterSet_.voters.count(self_) || membership_.isStable(now);
-    std::set<std::string> inReach;
+    std::set<std::string> reachableVoters;
     for (const std::string& voter : voterSet_.voters)
-        if (voter != self_ && membership_.isReachable(voter, now)) inReach.insert(voter);
+        if (voter != self_ && membership_.isReachable(voter, now)) reachableVoters.insert(voter);
     shutdown_.proceed(
-        proposer_.idle() && calls_.idle() && voteSettled, inReach,
+        proposer_.idle() && calls_.idle() && voteSettled, reachableVoters,
         [this](const std::string& voter, Json message) { sendToVoter(voter, std::move(message)); }, now);
 }
 
@@ -549,7 +554,8 @@
     continueShutdown(now);
 }
 
-// Takes down records whose owners died without a word. Two members that do so at once make the same record.
+// Removes records of owners that died without notice. Two members that do so at once create the same
+// record.
 void ControlMember::removeExpiredRecords(Nanos now) {
     if (!leased(now)) return;
     for (const std::string& name : gossip_.overdue()) {
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -1,6 +1,6 @@
-// One member of control: what the stores, the operator, the fronts and the other members say to it, and what
-// it says, writes and answers. Composes the registers, the registry of stores, the lease and the succession
-// of each service. Free of I/O, clocks and chance: time comes in, outputs go out.
+// One member of control: handles the messages of stores, operator, agents and other members, and produces
+// messages, disk writes and replies. Combines the registers, the store registry, the lease and the failover
+// of each service. Free of I/O, clocks and randomness: time is passed in, outputs are returned.
 #pragma once
 
 #include <algorithm>
@@ -39,46 +39,48 @@
                       private OperatorCalls::Means,
                       private CallRouter::Means {
 public:
-    // `incarnation`: drawn anew when the disk is empty, else as it was. `disk`: what was written, by name,
-    // with the life at `lifeKey` raised for this start.
+    // `incarnation`: drawn anew for an empty disk, otherwise as stored. `disk`: the records by name, with
+    // `processIncarnationKey` already incremented for this start.
     ControlMember(const settings::Settings& settings, std::string incarnation,
                   const std::map<std::string, Json>& disk, Nanos now);
 
-    // Links to others: `dialled` ones lead to a member at that control address, others come in.
+    // Links to others: `dialled` is the control address of the member this one connected to; empty for
+    // incoming links.
     void linkUp(int link, const std::string& dialled, Nanos now);
     void linkDown(int link, Nanos now);
     void handleMessage(int link, const Json& message, Nanos now);
-    // A call over HTTP: the path by segments.
+    // An HTTP call; `path` by segments.
     void handleCall(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
                     const std::string& body, Nanos now);
-    void handleStoreReply(std::uint64_t ask, std::optional<StoreRow> row, Nanos now);
-    void handlePlatformReply(std::uint64_t ask, PromotionAnswer answer, Nanos now);
-    // A reply of this member's own vote (ToSelf): what it says is on disk.
+    void handleStoreReply(std::uint64_t requestId, std::optional<StoreRow> row, Nanos now);
+    void handlePlatformReply(std::uint64_t requestId, PromotionAnswer answer, Nanos now);
+    // The reply of this member's own vote (ToSelf), once the vote is durable.
     void handleDurableVote(const Json& reply, Nanos now);
-    // How the disk does; said before each tick and when it changes.
+    // Health of the disk; called before each tick and on every change.
     void updateDiskHealth(DiskHealth health, Nanos now);
     void tick(Nanos now);
 
-    // Told to end: hands over, and may end once `mayEnd` says so.
+    // Starts the graceful shutdown; the process may exit once `shutdownComplete` returns true.
     void shutDown(Nanos now);
     bool shutdownComplete() const { return shutdown_.finished(); }
 
     Outputs takeOutputs() { return std::exchange(outputs_, {}); }
-    // Members that a link is to be held to.
+    // Members to which a link must be kept.
     std::set<std::string> membersToDial() const;
     Json state(Nanos now) const;
-    // How often one of its invariants was found broken.
+    // Number of violated invariants.
     std::uint64_t violations() const { return newsBeforeLease_.violations(); }
 
 private:
-    // A change that has no majority by then is answered as failed, within the time that an operator's call
+    // A change without a majority fails after this time, which is within the time that an operator's call
     // waits.
     static constexpr Nanos changeTimeout = millis(900);
-    // What an earlier life of a member with an empty disk may have said is no longer under way after this.
+    // Requests answered by the earlier process of a member that lost its disk have expired after this time.
+    // Recovery waits for it: a proposer might still count a vote that the lost disk no longer backs.
     static constexpr Nanos earlierRequestLifetime = changeTimeout + millis(300);
 
     struct Peer {
-        std::string dialled, member, station, kind;  // kind: "member", "front"; empty: not said yet
+        std::string dialled, member, station, kind;  // kind: "member", "front"; empty: no hello yet
     };
 
     Outputs& outputs() override { return outputs_; }
@@ -94,14 +96,14 @@
     bool unconfirmed(const std::string& name) const override { return gossip_.unconfirmed(name); }
     void sendTo(const std::string& voter, Json message) override;
     const VoterSet& voterSet() const override { return voterSet_; }
-    void answerStore(std::uint64_t call, CallOutcome kind) override {
-        calls_.answerOrSendOn(call, kind, "{}", now_);
+    void answerStore(std::uint64_t call, CallOutcome outcome) override {
+        calls_.answerOrSendOn(call, outcome, "{}", now_);
     }
 
     void beginChange(RegisterChange change, Nanos now, Nanos until) override;
     void configurationStands(const Json& value) override { publishChosen("config", value); }
-    void answerOperator(std::uint64_t call, CallOutcome kind, std::string body) override {
-        calls_.answerOrSendOn(call, kind, std::move(body), now_);
+    void answerOperator(std::uint64_t call, CallOutcome outcome, std::string body) override {
+        calls_.answerOrSendOn(call, outcome, std::move(body), now_);
     }
     void log(std::string line) override { outputs_.push_back(ToLog{std::move(line)}); }
 
@@ -114,7 +116,7 @@
 
     void dispatch(int link, const Json& message, Nanos now);
     void handleRecord(const std::string& name, const board::Record& record);
-    // The message with what is left of this member's lease, in microseconds: a hint of where to send callers.
+    // Adds this member's remaining lease time in microseconds, a hint of where to redirect callers.
     Json withLeaseLeft(Json message) const;
     void publishChosen(const std::string& name, const Json& value);
     bool isPublished(const std::string& name, const Json& value) const;
@@ -122,8 +124,8 @@
     std::size_t turnOrder() const;
     void handleVoteRequest(int link, const Json& message);
     void trackAccepted(const std::string& name);
-    // Whether this voter's disk is too unwell for it to own duties, by what it tells of itself.
-    bool hasUnwellDisk(const std::string& voter) const;
+    // Whether the voter reports that its disk is too unhealthy to own the failover of a service.
+    bool hasUnhealthyDisk(const std::string& voter) const;
     void sendProposerRequests(Nanos now);
     void handleHello(int link, Peer& peer, const Hello& hello, Nanos now);
     void handleLeaseRequest(int link, const Peer& peer, const Json& message, Nanos now);
@@ -158,12 +160,13 @@
     Acceptor acceptor_;
     Proposer proposer_;
     VoterSet voterSet_;
-    bool recovering_ = false;  // the disk was empty, and what others hold is not read yet
+    bool recovering_ = false;  // the disk was empty, and the state of the others is not read yet
     DiskHealthMonitor diskMonitor_;
     Nanos now_ = 0;
     Membership membership_;
     GracefulShutdown shutdown_;
-    std::map<std::string, Nanos> unpublished_;  // registers accepted here that nobody has said to stand
+    std::map<std::string, Nanos> unpublished_;  // registers accepted here whose value is not published yet,
+                                                // with the time of acceptance
     Recovery recovery_;
     std::map<int, Peer> peers_;
     std::map<std::string, std::string> incarnations_;
--- a/src/control/member_failover.cpp
+++ b/src/control/member_failover.cpp
@@ -1,5 +1,5 @@
-// The member's part in who leads each service: which duties are its own, the registers of the leads, and the
-// answers of stores and of the platform to those who asked.
+// Failover ownership of this member, the registers that record the primaries, and the dispatch of replies
+// from stores and the platform.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -9,10 +9,11 @@
 namespace granitereel::control {
 
 namespace {
-// A member whose link is down for longer counts as away when duties are dealt out.
+// A member whose link has been down for longer is not assigned any failover ownership.
 constexpr Nanos maxLinkDownTime = millis(600);
 
-// Rendezvous hashing (Thaler and Ravishankar, 1998): the highest of all members' values for a name has it.
+// Rendezvous hashing (Thaler and Ravishankar, 1998): the member with the highest hash of member and service
+// name owns the service.
 std::uint64_t rendezvousWeight(const std::string& member, const std::string& name) {
     const std::string both = member + '\n' + name;
     return XXH64(both.data(), both.size(), 0);
@@ -28,12 +29,14 @@
                            std::function<void(std::optional<Lead>)> done) {
     const std::string name = "lead/" + service;
     const Json wanted = written(to);
-    // An equal value may stand that another life of this member wrote: only one that was applied here counts.
+    // An equal value may have been written by an earlier process of this member: the change succeeded only
+    // if it was applied here. Otherwise two processes could both act as the one that made it.
     const auto applied = std::make_shared<bool>(false);
     proposer_.begin({name,
-                     [ifSeq, wanted, applied](const Json& was) {
-                         const std::uint64_t seq = was.is_object() ? was.at("seq").get<std::uint64_t>() : 0;
-                         if (seq != ifSeq) return was;
+                     [ifSeq, wanted, applied](const Json& current) {
+                         const std::uint64_t seq =
+                             current.is_object() ? current.at("seq").get<std::uint64_t>() : 0;
+                         if (seq != ifSeq) return current;
                          *applied = true;
                          return Json(wanted);
                      },
@@ -46,18 +49,19 @@
     sendProposerRequests(now_);
 }
 
-// A read by a majority that promises to take nothing older: what replaces the lead is chosen after it began.
+// Reads the register with a majority that promises to reject lower ballots: any replacement of the primary
+// is chosen after this read began.
 void ControlMember::confirm(const std::string& service, const Lead& expected,
                             std::function<void(Confirmation, Nanos now)> done) {
     const std::string name = "lead/" + service;
     proposer_.begin(
-        {name, [](const Json& was) { return was; },
-         [this, name, wanted = written(expected), done = std::move(done)](std::optional<Json> is) {
-             if (is) publishChosen(name, *is);
-             const auto lead = is ? readLead(*is) : std::nullopt;
-             if (is && (!lead || written(*lead) != wanted)) return done(Confirmation::replaced, now_);
+        {name, [](const Json& current) { return current; },
+         [this, name, wanted = written(expected), done = std::move(done)](std::optional<Json> chosen) {
+             if (chosen) publishChosen(name, *chosen);
+             const auto lead = chosen ? readLead(*chosen) : std::nullopt;
+             if (chosen && (!lead || written(*lead) != wanted)) return done(Confirmation::replaced, now_);
              const bool contact = leased(now_);
-             done(is && contact ? Confirmation::stands : Confirmation::unknown, now_);
+             done(chosen && contact ? Confirmation::stands : Confirmation::unknown, now_);
          }},
         now_, now_ + changeTimeout);
     sendProposerRequests(now_);
@@ -65,14 +69,14 @@
 
 int ControlMember::syncReplicas(const std::string& service) const {
     const configuration::Service* known = configuration_.service(service);
-    return known ? known->syncReplicas : 1;  // not known yet: as if it had some
+    return known ? known->syncReplicas : 1;  // unknown service: assume it has some
 }
 
 void ControlMember::handleSuspicion(const Json& message, Nanos now) {
     const std::string service = message.at("service");
-    const auto at = failovers_.find(service);
-    if (at != failovers_.end()) at->second->suspected(message.at("store"), now);
-    // The member that owns the duty may be another; it is told once.
+    const auto found = failovers_.find(service);
+    if (found != failovers_.end()) found->second->suspected(message.at("store"), now);
+    // Another member may own the failover of this service; the message is forwarded once.
     if (message.value("passed", false)) return;
     Json on = message;
     on["passed"] = true;
@@ -80,33 +84,33 @@
         if (!peer.dialled.empty()) send(link, on);
 }
 
-void ControlMember::handleStoreReply(std::uint64_t ask, std::optional<StoreRow> row, Nanos now) {
+void ControlMember::handleStoreReply(std::uint64_t requestId, std::optional<StoreRow> row, Nanos now) {
     now_ = now;
-    const auto at = pendingRequests_.find(ask);
-    if (at == pendingRequests_.end()) return;
-    Succession* requester = at->second;
-    pendingRequests_.erase(at);
-    requester->answered(ask, row, now);
+    const auto found = pendingRequests_.find(requestId);
+    if (found == pendingRequests_.end()) return;
+    Succession* requester = found->second;
+    pendingRequests_.erase(found);
+    requester->answered(requestId, row, now);
 }
 
-void ControlMember::handlePlatformReply(std::uint64_t ask, PromotionAnswer answer, Nanos now) {
+void ControlMember::handlePlatformReply(std::uint64_t requestId, PromotionAnswer answer, Nanos now) {
     now_ = now;
-    const auto at = pendingRequests_.find(ask);
-    if (at == pendingRequests_.end()) return;
-    Succession* requester = at->second;
-    pendingRequests_.erase(at);
-    requester->promoted(ask, answer, now);
+    const auto found = pendingRequests_.find(requestId);
+    if (found == pendingRequests_.end()) return;
+    Succession* requester = found->second;
+    pendingRequests_.erase(found);
+    requester->promoted(requestId, answer, now);
 }
 
-// Each service's duty belongs to the voter with the highest value for its name among those in reach.
+// The failover of each service is owned by the reachable voter with the highest rendezvous hash.
 void ControlMember::assignFailoverOwners(Nanos now) {
     if (!settings_.promotes) return;
     std::vector<std::string> reachable;
     for (const std::string& voter : voterSet_.voters) {
         if (membership_.isLeaving(voter)) continue;
-        const auto at = lastContact_.find(voter);
+        const auto found = lastContact_.find(voter);
         if (voter == self_ || linkTo(voter) ||
-            (at != lastContact_.end() && now - at->second < maxLinkDownTime))
+            (found != lastContact_.end() && now - found->second < maxLinkDownTime))
             reachable.push_back(voter);
     }
     const bool majority = reachable.size() >= voterSet_.majority() && now < lease_.until();
@@ -118,7 +122,7 @@
                 self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
                 PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
     });
-    std::erase_if(reachable, [this](const std::string& voter) { return hasUnwellDisk(voter); });
+    std::erase_if(reachable, [this](const std::string& voter) { return hasUnhealthyDisk(voter); });
     for (const auto& [service, succession] : failovers_) {
         const auto best =
             std::max_element(reachable.begin(), reachable.end(), [&, &name = service](auto& a, auto& b) {
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -5,11 +5,11 @@
 namespace granitereel::control {
 
 namespace {
-// A change of voters that has not come through by then is given up, and judged anew.
+// A change of voters that takes longer is abandoned and decided anew.
 constexpr Nanos changeTimeout = millis(3000);
-// Links carry what is sent or end; a voter may have had no vote yet when it was asked.
+// Links deliver or close, but a voter may have had no vote yet when the survey reached it.
 constexpr Nanos surveyRetryInterval = millis(300);
-// After a change that the other voters did not bear out, or that failed, no other is tried for this long.
+// After a change that failed, or that the other voters contradicted, no other is tried for this long.
 constexpr Nanos retryDelayAfterFailure = millis(1000);
 }  // namespace
 
@@ -58,21 +58,22 @@
 }
 
 bool Membership::isLeaving(const std::string& member) const {
-    const auto at = statuses_.find(member);
-    return at != statuses_.end() && at->second.leaving;
+    const auto found = statuses_.find(member);
+    return found != statuses_.end() && found->second.leaving;
 }
 
 bool Membership::isReachable(const std::string& member, Nanos now) const {
     if (member == self_) return true;
-    const auto at = lastHeard_.find(member);
-    return at != lastHeard_.end() && now - at->second <= timeouts_.maxSilence && host_.linkedTo(member);
+    const auto found = lastContact_.find(member);
+    return found != lastContact_.end() && now - found->second <= timeouts_.maxSilence &&
+           host_.linkedTo(member);
 }
 
 bool Membership::absentFor(const std::string& voter, Nanos bound, Nanos now) const {
     const auto since = unreachableSince_.find(voter);
     if (since == unreachableSince_.end() || isReachable(voter, now)) return false;
-    // After a restart of all, members return one after the other.
-    if (!lastHeard_.count(voter) && !isLeaving(voter) && now - startedAt_ < timeouts_.startGracePeriod)
+    // After a restart of all members they return one by one.
+    if (!lastContact_.count(voter) && !isLeaving(voter) && now - startedAt_ < timeouts_.startGracePeriod)
         return false;
     return now - since->second >= bound;
 }
@@ -85,7 +86,7 @@
             unreachableSince_.try_emplace(voter, now);
     }
     std::erase_if(reachableSince_, [&](const auto& each) { return !isReachable(each.first, now); });
-    for (const auto& [member, at] : lastHeard_)
+    for (const auto& [member, time] : lastContact_)
         if (isReachable(member, now)) reachableSince_.try_emplace(member, now);
 }
 
@@ -103,24 +104,24 @@
         if (absentFor(voter, isLeaving(voter) ? 0 : timeouts_.longAbsentAfter, now))
             view.longAbsent.insert(voter);
     }
-    std::vector<std::pair<Nanos, std::string>> bySince;
+    std::vector<std::pair<Nanos, std::string>> byReachableSince;
     for (const auto& [member, since] : reachableSince_) {
         if (voterSet_.voters.count(member) || !isReachable(member, now)) continue;
         const auto status = statuses_.find(member);
         const bool known = status != statuses_.end();
         if (known && status->second.leaving) continue;
-        // It reads the state before it may vote: who leaves waits for it, who changes the voters does not.
+        // A recovering member cannot vote yet. A shutdown waits for it; a change of voters does not.
         if (known && status->second.recovering && filter == CandidateFilter::stable) continue;
         if (filter == CandidateFilter::all || now - since >= timeouts_.candidateDelay)
-            bySince.emplace_back(since, member);
+            byReachableSince.emplace_back(since, member);
     }
-    std::sort(bySince.begin(), bySince.end());
-    for (auto& [since, member] : bySince) view.candidates.push_back(std::move(member));
+    std::sort(byReachableSince.begin(), byReachableSince.end());
+    for (auto& [since, member] : byReachableSince) view.candidates.push_back(std::move(member));
     return view;
 }
 
-// How many voters in reach come before this one: what any may do the first does, the next if it has not. One
-// that leaves comes behind those that stay.
+// Number of reachable voters that act before this one. Changes are left to the first of them; each further
+// one acts if those before it have not. Members that are shutting down come last.
 std::size_t Membership::turnOrder(Nanos now) const {
     return static_cast<std::size_t>(
         std::count_if(voterSet_.voters.begin(), voterSet_.voters.end(), [&](const std::string& voter) {
@@ -133,7 +134,7 @@
     updateReachability(now);
     if (!votes || now < noChangeBefore_) return;
     if (pendingChange_) {
-        if (now - pendingChange_->startedAt > changeTimeout) return abandon(now, "took too long");
+        if (now - pendingChange_->startedAt > changeTimeout) return abandon(now, "timed out");
         if (!pendingChange_->reaccepting && now - pendingChange_->lastSurveyAt >= surveyRetryInterval)
             sendSurvey(now);
         return advance(now);
@@ -187,16 +188,17 @@
 void Membership::advance(Nanos now) {
     if (pendingChange_->reaccepting || pendingChange_->replied.size() < voterSet_.majority()) return;
     if (pendingChange_->change.kind == VoterChange::Kind::removeAbsent) {
-        if (isReachable(pendingChange_->change.member, now)) return abandon(now, "it is in reach again");
-        // A majority must miss it: one member's lost link, either way, takes no vote from another.
+        if (isReachable(pendingChange_->change.member, now)) return abandon(now, "it is reachable again");
+        // A majority must find the voter unreachable: a single broken link, in either direction, must not
+        // remove a vote.
         if (pendingChange_->replied.size() - pendingChange_->reachesAbsent.size() < voterSet_.majority())
             return;
     }
     reacceptAll();
 }
 
-// The next epoch's majorities meet those of the present one, not those before: what these have chosen is
-// accepted anew first.
+// Majorities of the next epoch intersect those of the current epoch, but not necessarily older ones. Values
+// chosen earlier are therefore accepted again first; otherwise they could be lost with the next change.
 void Membership::reacceptAll() {
     pendingChange_->reaccepting = true;
     pendingChange_->remainingReaccepts = pendingChange_->registers.size();
--- a/src/control/membership.hpp
+++ b/src/control/membership.hpp
@@ -1,7 +1,7 @@
-// Who votes: one member's view of which members are in reach, and the changes of voters that it carries
-// through. One voter at a time: a majority of the present voters says which registers it holds (a census),
-// each of these is accepted anew by a majority, then the next core is written to the register "core". What to
-// change is decided in voter_policy. Free of I/O, clocks and chance.
+// Changes of the voter set: one member's view of which members are reachable, and the changes it carries
+// out. One voter changes at a time: a majority of the current voters reports which registers they hold (a
+// survey), each of these is accepted again by a majority, then the next voter set is written to the
+// register "core". voter_policy decides what to change. Free of I/O, clocks and randomness.
 #pragma once
 
 #include <functional>
@@ -18,27 +18,28 @@
 
 namespace granitereel::control {
 
-// What a member's record says of it.
+// Status that a member publishes in its record.
 struct MemberStatus {
-    bool leaving = false;     // told to end
-    bool recovering = false;  // its disk was lost, and it has not read the state yet
+    bool leaving = false;     // shutting down
+    bool recovering = false;  // its disk was lost and the state is not restored yet
     static MemberStatus fromJson(const Json& body);
 };
 
-// Bounds of the judgement of who is in reach. Those of `timesFor` follow from guarantees.sync_in_s, within
-// half of which a replacement must be complete.
+// Timeouts for judging reachability. `timeoutsFor` derives them from guarantees.sync_in_s: a replacement
+// must be complete within half of it.
 struct ReachabilityTimeouts {
-    Nanos maxSilence = millis(600);    // a link that carried nothing for longer is as good as none
-    Nanos absentAfter = millis(1000);  // out of reach for longer: absent
+    Nanos maxSilence = millis(600);    // a link without messages for longer counts as down
+    Nanos absentAfter = millis(1000);  // unreachable for longer: absent
     Nanos longAbsentAfter = millis(15'000);
-    Nanos startGracePeriod = millis(3000);  // a voter not yet heard in this life is not judged before
-    Nanos candidateDelay = millis(300);     // in reach for longer: may get a vote
-    Nanos turnLength = millis(500);  // what the first voter in reach has not done the next does after this
+    Nanos startGracePeriod = millis(3000);  // voters not heard since the own start are not judged before
+    Nanos candidateDelay = millis(300);     // reachable for longer: may become a voter
+    Nanos turnLength = millis(500);         // how long a member waits for each one before it to act
 };
 ReachabilityTimeouts timeoutsFor(int syncIn_ms);
 
-// Asks a voter which registers it holds, and whether it hears a voter that is to be removed as absent. Who is
-// asked adopts the epoch first, so that it refuses the messages of earlier ones from then on.
+// Asks a voter which registers it holds, and whether it can reach a voter that is to be removed as absent.
+// The voter adopts the epoch first and from then on refuses requests of earlier epochs: otherwise a
+// majority of an old epoch could choose a value that the survey misses.
 struct SurveyRequest {
     std::uint64_t epoch = 0;
     std::set<std::string> voters;
@@ -57,47 +58,48 @@
 
 class Membership {
 public:
-    // What it needs of the member that holds it.
+    // Services of the member that owns the Membership.
     struct Host {
         virtual ~Host() = default;
-        // Over the link to that voter; lost where there is none.
+        // Sent over the link to that voter; dropped if there is none.
         virtual void sendToVoter(const std::string& voter, Json message) = 0;
         virtual bool linkedTo(const std::string& member) const = 0;
         virtual std::set<std::string> heldRegisters() const = 0;
-        // Reads a register and has what stands accepted anew by a majority of the present voters.
+        // Reads a register and has its value accepted again by a majority of the current voters.
         virtual void reaccept(const std::string& name, std::function<void(bool accepted)> done) = 0;
-        // Writes the next core, where its epoch follows the one that stands.
+        // Writes the next voter set, if its epoch directly follows the chosen one.
         virtual void writeVoterSet(const VoterSet& next, std::function<void()> done) = 0;
         virtual void logMembership(std::string line) = 0;
     };
 
     Membership(std::string self, const settings::Settings& settings, Host& host, Nanos now);
 
-    // What is under way for an earlier epoch is given up.
+    // Abandons a change started in an earlier epoch.
     void adopt(const VoterSet& voterSet, Nanos now);
-    void recordContact(const std::string& member, Nanos now) { lastHeard_[member] = now; }
-    // The last one told holds: a member that starts again makes its record anew.
+    void recordContact(const std::string& member, Nanos now) { lastContact_[member] = now; }
+    // The last status wins: a member that restarts publishes its record anew.
     void updateStatus(const std::string& member, MemberStatus status) { statuses_[member] = status; }
-    // Does what this member's turn is; `votes`: whether this member may vote.
+    // Starts or advances a change when it is this member's turn. `votes`: whether this member may vote.
     void tick(bool votes, Nanos now);
-    // Whether a change is under way or was made a moment ago: then another may follow at once, and `tick` is
-    // called with every message, so that the core is between two changes as shortly as can be.
+    // Whether a change is in progress or has just completed. Another may then follow at once, and `tick` is
+    // called on every message, which keeps the time between two dependent changes short.
     bool changeInProgress(Nanos now) const;
     SurveyReply answer(const SurveyRequest& request, Nanos now) const;
     void handleReply(const std::string& voter, const SurveyReply& reply, Nanos now);
 
     bool isReachable(const std::string& member, Nanos now) const;
     bool isLeaving(const std::string& member) const;
-    // Whether, from what this member sees, the voters are as they should be, also once those in reach that
-    // have just come may vote.
+    // Whether no change of voters is needed from this member's view, even once all reachable candidates may
+    // vote.
     bool isStable(Nanos now) const { return !nextVoterChange(view(now, CandidateFilter::all)); }
 
 private:
-    // A change of voters under way.
+    // A change of voters in progress.
     struct PendingChange {
         VoterSet next;
         VoterChange change;
-        std::set<std::string> replied, reachesAbsent, registers;  // hearing: those who hear the absent voter
+        // `reachesAbsent`: voters that still reach the absent one.
+        std::set<std::string> replied, reachesAbsent, registers;
         Nanos startedAt = 0, lastSurveyAt = 0;
         bool reaccepting = false, writing = false;
         std::size_t remainingReaccepts = 0;
@@ -122,7 +124,7 @@
     Host& host_;
     const Nanos startedAt_;
     VoterSet voterSet_;
-    std::map<std::string, Nanos> lastHeard_, unreachableSince_, reachableSince_;
+    std::map<std::string, Nanos> lastContact_, unreachableSince_, reachableSince_;
     std::map<std::string, MemberStatus> statuses_;
     std::optional<VoterChange> neededChange_;
     Nanos neededSince_ = 0, noChangeBefore_ = 0, adoptedAt_ = 0;
--- a/src/control/messages.hpp
+++ b/src/control/messages.hpp
@@ -1,5 +1,5 @@
-// What members of control say to each other on a new link, about who votes, and to a member whose disk was
-// lost. Each `fromJson` throws nlohmann::json::exception where the message is not of its form. Free of I/O.
+// Messages between members of control: on a new link, about the voter set, and to a member that lost its
+// disk. Each `fromJson` throws nlohmann::json::exception on malformed input. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +13,17 @@
 
 namespace granitereel::control {
 
-// The first message on a link, of both sides. An agent says `sender` "front" and its station only.
+// The first message on a link, from both sides. An agent sends only `sender` "front" and its station.
 struct Hello {
     static constexpr const char* kind = "hello";
     static constexpr const char* memberSender = "member";
     std::string sender, member, station, district, incarnation;
-    std::optional<VoterSet> voterSet;  // of who was dialled: the present one, as far as it knows
+    std::optional<VoterSet> voterSet;  // sent by the side that was dialled: its current voter set, if known
     Json toJson() const;
     static Hello fromJson(const Json& message);
 };
 
-// A later epoch than that of what was asked.
+// Reply to a request of an earlier epoch.
 struct CurrentVoterSet {
     static constexpr const char* kind = "stale";
     VoterSet voterSet;
@@ -31,7 +31,7 @@
     static CurrentVoterSet fromJson(const Json& message);
 };
 
-// Asks for what a voter's disk holds, in this epoch.
+// Requests the slots on the disk of a voter, in this epoch.
 struct StateRequest {
     static constexpr const char* kind = "dump?";
     VoterSet voterSet;
@@ -43,7 +43,7 @@
 struct StateReply {
     static constexpr const char* kind = "dump";
     std::uint64_t epoch = 0;
-    std::map<std::string, Slot> slots;  // by register
+    std::map<std::string, Slot> slots;  // by register name
     Json toJson() const;
     static StateReply fromJson(const Json& message);
 };
--- a/src/control/outputs.hpp
+++ b/src/control/outputs.hpp
@@ -1,5 +1,6 @@
-// What the state machines of control want done, in this order. What depends on a write leaves only once every
-// write before it is synced (DurabilityGate); everything else leaves at once, whatever the disk does.
+// Actions requested by the state machines of control, in order. Outputs that depend on a write are sent
+// only once all earlier writes are synced (DurabilityGate); all others are sent at once, whatever the state
+// of the disk.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-// How a call ended. The table in answers.cpp turns each into what its caller is told.
+// How a call ended. `httpReplyFor` maps it to the HTTP reply.
 enum class CallOutcome {
     accepted,
     invalid,
@@ -34,7 +35,7 @@
 };
 HttpReply httpReplyFor(CallOutcome outcome);
 
-// When an output leaves: at once, or when all writes that stand before it are synced.
+// When an output is sent: at once, or when all earlier writes are synced.
 enum class Release { now, onceDurable };
 
 struct ToLink {
@@ -42,8 +43,8 @@
     Json message;
     Release release = Release::now;
 };
-// The reply of this member's vote to its own proposer: handed back to ControlMember::voteStored when all
-// writes that stand before it are synced.
+// The reply of this member's vote to its own proposer: returned to ControlMember::handleDurableVote when
+// all earlier writes are synced. Counted earlier, the own vote could be lost in a crash.
 struct ToSelf {
     Json reply;
 };
@@ -54,20 +55,21 @@
 struct ToCaller {
     std::uint64_t call = 0;
     CallOutcome outcome = CallOutcome::accepted;
-    std::string body;      // JSON; empty: what the table says
-    std::string location;  // where the caller is sent on to, with Kind::elsewhere
+    std::string body;      // JSON; empty: the text of httpReplyFor
+    std::string location;  // redirect target, with CallOutcome::redirected
 };
-// A call that must not leave later than at this time, as what it rests on may no longer stand then.
+// Default of `notAfter`: the time after which a call must not be sent, as its preconditions (lease, term)
+// may no longer hold.
 constexpr Nanos noDeadline = std::numeric_limits<Nanos>::max();
-// A statement of control's own at a store: STATUS, PAUSE term, RESUME or STEPDOWN term. Sent once, over a
-// connection of its own.
+// A control statement for a store: STATUS, PAUSE term, RESUME or STEPDOWN term. Sent once, over its own
+// connection.
 struct ToStore {
     std::uint64_t requestId = 0;
     std::string store, service, address, text;
     int within_ms = 0;
     Nanos notAfter = noDeadline;
 };
-// POST /promotions. Sent once, over a connection of its own.
+// POST /promotions. Sent once, over its own connection.
 struct ToPlatform {
     std::uint64_t requestId = 0;
     std::string service, store, holder;
@@ -75,7 +77,7 @@
     int within_ms = 0;
     Nanos notAfter = noDeadline;
 };
-// A change of state worth a line in the log.
+// A log line.
 struct ToLog {
     std::string line;
 };
--- a/src/control/recovery.hpp
+++ b/src/control/recovery.hpp
@@ -1,4 +1,4 @@
-// How a member with an empty disk comes by the state of the registers before it may vote. Free of I/O.
+// Restores the register state of a member whose disk was lost before it may vote. Free of I/O.
 #pragma once
 
 #include <set>
@@ -9,21 +9,22 @@
 
 namespace granitereel::control {
 
-// It reads the slots of a majority of one epoch's voters other than itself, each by an answer to a question
-// that it sent in that epoch and not before what its earlier life had answered is out of use. On a later
-// epoch it begins anew.
+// Reads the slots of a majority of one epoch's voters, not counting itself. Every reply must answer a
+// request that was sent in that epoch, and after all requests that the earlier process had answered have
+// expired: otherwise this member could forget a promise or acceptance that a majority relied on. Starts
+// again when the epoch changes.
 class Recovery {
 public:
     explicit Recovery(Nanos notBefore) : notBefore_(notBefore) {}
 
     void epochChanged();
-    // Whether the voters are to be asked now. Where this member has no vote in the epoch, none of its earlier
-    // answers counts there, and nothing is waited for.
+    // Whether to send requests to the voters now. A member that has no vote in the epoch need not wait:
+    // none of its earlier replies counts there.
     bool shouldRequestNow(const VoterSet& voterSet, const std::string& self, Nanos now);
-    // An answer of another member that votes in this epoch; whether it counts.
+    // Records the reply of another voter of this epoch; returns whether it counts.
     bool recordReply(const VoterSet& voterSet, const std::string& voter, std::uint64_t epoch);
-    // `newestEpoch`: the highest that the register of the epoch was seen accepted with. Where it is above the
-    // present, the present may be over, and what was chosen since is not among the answers.
+    // `newestEpoch`: the highest epoch found in an accepted value of the register "core". If it is above
+    // the current epoch, that epoch may be over, and values chosen since are missing from the replies.
     bool isComplete(const VoterSet& voterSet, std::uint64_t newestEpoch) const;
 
 private:
--- a/src/control/register.cpp
+++ b/src/control/register.cpp
@@ -56,7 +56,7 @@
     if (request.ballot < slot.promised) return outcome;
     Json value = request.value;
     if (request.patch && slot.accepted == request.ballot) {
-        value = slot.value;  // taken before; the answer was lost
+        value = slot.value;  // already accepted; the reply was lost
     } else if (request.patch && slot.accepted == request.patchBase) {
         value = slot.value.patch(*request.patch);
     } else if (request.patch) {
@@ -95,7 +95,8 @@
 }
 
 void Proposer::prepare(std::uint64_t changeId, RunningChange& running, Nanos now) {
-    // Above what this member's own disk has promised: another life's rounds are not tried again.
+    // Starts above the ballot promised on the own disk, so that rounds of earlier processes are not tried
+    // again.
     highestRound_ = std::max(highestRound_, localSlot_(running.change.name).promised.round) + 1;
     running.ballot = {highestRound_, self_};
     running.highestAccepted = {};
@@ -109,7 +110,7 @@
 }
 
 void Proposer::sendRequest(std::uint64_t changeId, RunningChange& running, const std::string& voter) {
-    if (!linkedVoters_.count(voter)) return;  // reached() asks
+    if (!linkedVoters_.count(voter)) return;  // linkUp() sends it
     running.requested.insert(voter);
     VoteRequest request;
     request.phase = running.accepting ? VotePhase::accept : VotePhase::prepare;
@@ -118,8 +119,9 @@
     request.ballot = running.ballot;
     request.voterSet = voterSet_;
     if (running.accepting) {
-        // Who holds what the value was made from is told what changed, where that is shorter. So is one whose
-        // promise has not come yet: it most likely does, and says so where not.
+        // A voter that holds the base of the new value is sent only the patch, where that is shorter. So is
+        // a voter whose promise has not arrived yet: it most likely holds the base, and replies
+        // needsFullValue if not.
         const auto promise = running.promises.find(voter);
         const bool mayHoldBase =
             promise == running.promises.end() || promise->second == running.highestAccepted;
@@ -134,7 +136,8 @@
     requests_.push_back({voter, request.toJson()});
 }
 
-// The present phase's question, to all who have not answered it and to whom it does not stand.
+// Sends the request of the current phase to every voter that has neither replied nor been asked on a live
+// link.
 void Proposer::sendRequests(std::uint64_t changeId, RunningChange& running, Nanos now) {
     running.sentAt = now;
     for (const std::string& voter : voterSet_.voters)
@@ -153,13 +156,13 @@
     linkedVoters_.erase(voter);
 }
 
-void Proposer::handleReply(const std::string& from, const Json& answer, Nanos now) {
-    const VoteReply reply = VoteReply::fromJson(answer);
+void Proposer::handleReply(const std::string& from, const Json& message, Nanos now) {
+    const VoteReply reply = VoteReply::fromJson(message);
     const auto found = runningChanges_.find(reply.attempt);
     if (found == runningChanges_.end() || !voterSet_.voters.count(from)) return;
     const std::uint64_t changeId = found->first;
     RunningChange& running = found->second;
-    if (now >= running.deadline) return;  // tick() ends it
+    if (now >= running.deadline) return;  // tick() ends the change
     if (reply.kind == VoteKind::refused) return handleRefusal(running, reply.ballot, now);
     if (running.backingOff || reply.ballot != running.ballot) return;
     switch (reply.kind) {
@@ -182,13 +185,13 @@
     }
 }
 
-// The voter has promised another ballot: the next try is above it. (Its own ballot comes back from a voter
-// that has accepted another value under it; a further round mends that.)
+// The voter has promised a higher ballot: the next attempt goes above it. (It returns its own ballot if it
+// accepted another value under it; another round resolves that.)
 void Proposer::handleRefusal(RunningChange& running, const Ballot& promised, Nanos now) {
     highestRound_ = std::max(highestRound_, promised.round);
     if (running.backingOff || promised < running.ballot) return;
-    // Two at once: the pause grows with how long a round takes here, and by a part that their names make
-    // differ, so that one of them gets through.
+    // Backs off after a conflict. The delay grows with the measured round-trip time and has a part that
+    // depends on the member and round, so that one of the competing proposers gets through.
     running.backingOff = true;
     running.conflicts = std::min(running.conflicts + 1, 6);
     const Nanos round = std::min(now - running.sentAt, millis(200)) + millis(4);
@@ -200,17 +203,19 @@
 void Proposer::handlePromise(std::uint64_t changeId, RunningChange& running, const std::string& from,
                              const VoteReply& reply, Nanos now) {
     if (running.highestAccepted < reply.accepted) {
-        const Slot& own = localSlot_(running.change.name);
-        // What it does not send is what this member held when it asked.
-        if (!reply.value && own.accepted != reply.accepted) return sendRequest(changeId, running, from);
-        running.currentValue = reply.value ? *reply.value : own.value;
+        const Slot& local = localSlot_(running.change.name);
+        // The voter omits the value it believes this member to hold; ask again if that slot has changed
+        // since.
+        if (!reply.value && local.accepted != reply.accepted) return sendRequest(changeId, running, from);
+        running.currentValue = reply.value ? *reply.value : local.value;
         running.highestAccepted = reply.accepted;
     }
     running.replies[from] = {reply.accepted, reply.learned};
     advance(changeId, running, now);
 }
 
-// What a majority has accepted under one ballot is chosen: nothing need be written to read it.
+// A value that a majority has accepted under one ballot is chosen and can be read without writing. Slots
+// copied by a recovery are no votes and do not count: they could make a value look chosen that is not.
 bool Proposer::isAlreadyChosen(const RunningChange& running) const {
     const auto supporters =
         std::count_if(running.replies.begin(), running.replies.end(), [&](const auto& each) {
@@ -227,7 +232,7 @@
         return finish(changeId, std::move(value));
     running.newValue = std::move(value);
     running.accepting = true;
-    for (const auto& [voter, answer] : running.replies) running.promises[voter] = answer.accepted;
+    for (const auto& [voter, reply] : running.replies) running.promises[voter] = reply.accepted;
     running.replies.clear();
     running.requested.clear();
     running.patch = board::shorter(running.currentValue, running.newValue);
@@ -243,7 +248,7 @@
 void Proposer::handleDiskLoss(const std::string& voter, Nanos now) {
     for (auto& [changeId, running] : runningChanges_) {
         if (running.backingOff) continue;
-        // A promise that its disk has forgotten binds nobody: the ballot is given up.
+        // A promise lost with the disk no longer excludes lower ballots: the ballot is abandoned.
         if (running.promises.count(voter))
             prepare(changeId, running, now);
         else if (running.replies.erase(voter))
@@ -268,7 +273,7 @@
         for (const auto& [voter, reply] : running.replies) text += " " + voter;
         text += " of";
         for (const std::string& voter : voterSet_.voters) text += " " + voter;
-        if (running.backingOff) text += ", clashing at round " + std::to_string(highestRound_);
+        if (running.backingOff) text += ", conflict at round " + std::to_string(highestRound_);
         failures_.push_back(std::move(text));
         finish(changeId, std::nullopt);
     }
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -1,8 +1,8 @@
-// Registers that outlive machines: for each name a value that is changed by a function of what it was, held
-// by a majority of the core's disks before anyone is told (CASPaxos, Rystsov 2018: a round of promises, a
-// round of acceptances; no log and no leader). Two proposers at once may make each other begin anew; of what
-// was once chosen nothing is lost, and no two changes are built on the same value. Free of I/O, clocks and
-// chance.
+// Replicated registers: each name maps to a value that is changed by a function of its current value and is
+// held by a majority of the voters' disks before the change is acknowledged (CASPaxos, Rystsov 2018: one
+// round of promises, one round of acceptances; no log and no leader). Concurrent proposers may force each
+// other to retry; a chosen value is never lost, and no two changes are based on the same value. Free of
+// I/O, clocks and randomness.
 #pragma once
 
 #include <cstdint>
@@ -19,35 +19,37 @@
 
 namespace granitereel::control {
 
-// What a member's disk holds of a register.
+// State of one register on a voter's disk.
 struct Slot {
     Ballot promised, accepted;
     Json value;  // null: never written
-    // `accepted` was read from other voters' disks by a recovery: no vote of this disk stands behind it, so
-    // it is no evidence that a majority has accepted.
+    // `accepted` was copied from other voters during recovery. This disk never voted for it, so it must not
+    // be counted as evidence that a majority accepted it: a value that was never chosen could be read as
+    // chosen.
     bool learned = false;
 };
 
 Json slotToJson(const Slot& slot);
-// Reads what `written` made, and slots of the earlier format, whose ballots carry no life. Throws
-// nlohmann::json::exception.
+// Parses the output of `slotToJson`, and slots of the earlier format, whose ballots have no process
+// incarnation. Throws nlohmann::json::exception.
 Slot slotFromJson(const Json& json);
 
-// A voter's part in promising and accepting. What it answers must not leave before the slot is on disk.
+// The acceptor of a voter. A reply must not be sent before the slot is synced to disk: a promise or
+// acceptance that a crash erases would let two different values be chosen.
 class Acceptor {
 public:
     struct Outcome {
         VoteReply reply;
-        bool changed = false;   // the slot is to be written
-        bool conflict = false;  // another value came under a ballot accepted here: a proposer's fault
+        bool changed = false;   // the slot must be written to disk
+        bool conflict = false;  // a second value under an already accepted ballot: the proposer is faulty
     };
 
     void load(const std::string& name, Slot slot) { slots_[name] = std::move(slot); }
-    // The request's epoch is not looked at.
+    // Does not check the epoch of the request; the caller does.
     Outcome handle(const VoteRequest& request);
     const Slot& slot(const std::string& name) { return slots_[name]; }
     const std::map<std::string, Slot>& slots() const { return slots_; }
-    // Takes over what another voter holds, where that is more; says whether anything changed.
+    // Merges the slot of another voter where its ballots are higher; returns whether anything changed.
     bool mergeRecovered(const std::string& name, const Slot& other);
 
 private:
@@ -57,52 +59,54 @@
     std::map<std::string, Slot> slots_;
 };
 
-// A change under way. `change` is given the value as it was (null: none) and returns it as it shall be; it
-// may be called more than once, and gives back the same to change nothing.
+// A change of one register. `apply` maps the current value (null: none) to the new one; it may be called
+// more than once, and returns its argument to read without writing.
 struct RegisterChange {
     std::string name;
     std::function<Json(const Json&)> apply;
-    // The value that now stands, or none if no majority could be had in time: then it may stand or not.
+    // Receives the chosen value, or nothing if no majority replied in time; the change may then have been
+    // chosen or not.
     std::function<void(std::optional<Json>)> done;
-    // Has it accepted again by a majority even where it stands unchanged.
+    // Runs the accept phase even if the value is unchanged and already chosen.
     bool forceAccept = false;
 };
 
-// The proposers of one member: what is to be said to which members, and what came of it.
+// The proposer of one member: runs any number of changes at a time and produces the requests to voters.
 class Proposer {
 public:
     struct OutgoingRequest {
         std::string to;
         Json message;  // a VoteRequest
     };
-    // `held`: what this member's own acceptor holds of a register.
+    // Returns the slot of a register in this member's own acceptor.
     using LocalSlot = std::function<const Slot&(const std::string& name)>;
     Proposer(ProposerId self, LocalSlot localSlot)
         : self_(std::move(self)), localSlot_(std::move(localSlot)), linkedVoters_{self_.member} {}
 
-    // What is under way begins anew with the voters of a later epoch.
+    // Restarts all running changes with the voters of a later epoch.
     void setVoters(VoterSet voterSet, Nanos now);
     const VoterSet& voterSet() const { return voterSet_; }
-    // A member that has lost its disk answers anew under another incarnation: what it said before counts no
-    // more.
+    // The voter lost its disk and returned under another incarnation. Its earlier promises and acceptances
+    // no longer count: counting them could choose a value without a majority of disks behind it.
     void handleDiskLoss(const std::string& voter, Nanos now);
 
     void begin(RegisterChange change, Nanos now, Nanos deadline);
-    // A link to this voter is there anew: what it has not answered is asked again. Nothing is said to a voter
-    // before; of this member itself it need not be told.
+    // A link to this voter was established: unanswered requests are sent again. Voters without a link are
+    // sent nothing; the member itself is always linked.
     void linkUp(const std::string& voter);
-    // There is no link to this voter any more.
+    // The last link to this voter was closed.
     void linkDown(const std::string& voter);
-    // A VoteReply to a request of this proposer. What comes behind a change's deadline counts no more, also
-    // where this process was frozen and has not ticked since.
-    void handleReply(const std::string& from, const Json& answer, Nanos now);
+    // A VoteReply to a request of this proposer. Replies after the deadline of a change are ignored, even
+    // if this process was suspended and has not ticked since.
+    void handleReply(const std::string& from, const Json& message, Nanos now);
     void tick(Nanos now);
-    // Whether no change is under way.
+    // Whether no change is running.
     bool idle() const { return runningChanges_.empty(); }
     std::vector<OutgoingRequest> takeRequests() { return std::exchange(requests_, {}); }
-    // What the changes that ended without a majority were short of, for the log.
+    // Log lines on changes that failed for want of a majority.
     std::vector<std::string> takeFailures() { return std::exchange(failures_, {}); }
-    // Links carry what is sent or end, so only a voter that abstained is asked again, after this.
+    // A link delivers requests or closes, so only voters that abstained need to be asked again, after this
+    // interval.
     static constexpr Nanos abstentionRetryInterval = millis(400);
 
 private:
@@ -116,10 +120,11 @@
         Ballot ballot, highestAccepted;
         Json currentValue, newValue, patch;
         bool accepting = false, backingOff = false;
-        std::map<std::string, PhaseReply> replies;  // in the present phase
-        std::map<std::string, Ballot> promises;  // while accepting: who promised, with what it had accepted
-        std::set<std::string> requested,
-            lacksPatchBase;  // asked: the phase's question stands on a living link
+        std::map<std::string, PhaseReply> replies;  // in the current phase
+        // Accept phase: the voters that promised, with the ballots that they had accepted.
+        std::map<std::string, Ballot> promises;
+        // `requested`: the request of this phase was sent on a live link.
+        std::set<std::string> requested, lacksPatchBase;
         int conflicts = 0;
     };
     void prepare(std::uint64_t changeId, RunningChange& running, Nanos now);
--- a/src/control/vote.hpp
+++ b/src/control/vote.hpp
@@ -1,4 +1,4 @@
-// What proposers ask of voters and what voters answer. Free of I/O.
+// Requests of proposers to voters, and the replies. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace granitereel::control {
 
-// Who votes, and since which change of that. A change adds or takes away one voter, so that majorities of an
-// epoch and of the next have a member in common; before a further one all registers are accepted anew
-// (ControlMember::manage).
+// The voting members and the epoch in which they vote. Consecutive epochs differ by exactly one voter, so
+// their majorities intersect. Majorities two epochs apart need not intersect; therefore all registers are
+// accepted again by a majority before the next change (Membership), or a chosen value could be lost.
 struct VoterSet {
-    std::uint64_t epoch = 0;  // 0: not known
+    std::uint64_t epoch = 0;  // 0: unknown
     std::set<std::string> voters;
     std::size_t majority() const { return voters.size() / 2 + 1; }
 };
@@ -23,13 +23,13 @@
 
 struct VoteRequest {
     VotePhase phase = VotePhase::prepare;
-    std::string name;           // the register
-    std::uint64_t attempt = 0;  // the proposer's number for its change; comes back in the reply
+    std::string name;           // register name
+    std::uint64_t attempt = 0;  // identifies the proposer's change; echoed in the reply
     Ballot ballot;
-    VoterSet voterSet;  // the epoch in which it is asked, and who votes in it
-    // prepare: the accepted ballot whose value the proposer holds itself, so that it need not be sent.
+    VoterSet voterSet;  // epoch and voters that the proposer counts majorities in
+    // prepare: the accepted ballot whose value the proposer already holds and need not be sent.
     Ballot knownAccepted;
-    // accept: the whole value, or a patch (RFC 6902) of the value accepted under `base`.
+    // accept: either the full value, or a patch (RFC 6902) against the value accepted under `patchBase`.
     Ballot patchBase;
     std::optional<Json> patch;
     Json value;
@@ -41,16 +41,16 @@
 enum class VoteKind {
     promised,
     accepted,
-    refused,         // `ballot`: what the voter has promised
-    needsFullValue,  // it does not hold what the patch is of
-    abstains,        // it has no vote at present
+    refused,         // `ballot` is the higher ballot that the voter has promised
+    needsFullValue,  // the voter does not hold the value that the patch applies to
+    abstains,        // the voter may not vote at the moment
 };
 
 struct VoteReply {
     VoteKind kind = VoteKind::abstains;
     std::uint64_t attempt = 0;
     Ballot ballot;
-    // promised: what it has accepted, and the value unless the proposer holds it.
+    // promised: the last accepted ballot, and its value unless the proposer holds it already.
     Ballot accepted;
     bool learned = false;  // see Slot::learned
     std::optional<Json> value;
--- a/src/control/voter_policy.cpp
+++ b/src/control/voter_policy.cpp
@@ -7,8 +7,8 @@
 namespace {
 using Kind = VoterChange::Kind;
 
-// An even number needs the majority of the next odd one: a voter that is away only costs, and one more voter
-// costs nothing even if it dies.
+// An even number of voters needs the same majority as the next odd number: removing an absent voter costs
+// nothing, and adding one costs nothing even if it fails.
 std::optional<VoterChange> changeOfEvenVoterCount(const VoterView& view) {
     const bool mayRemoveOne = view.voters.size() > view.minVoters;
     if (mayRemoveOne && !view.absent.empty()) return VoterChange{Kind::removeAbsent, *view.absent.begin()};
@@ -18,8 +18,8 @@
     return std::nullopt;
 }
 
-// A core without two that are gone needs one voter fewer for a majority. They are given up where one
-// of them said that it leaves or has been away for long; the other goes next, as the number is even then.
+// Removing two voters that are gone lowers the majority by one. They are removed if one of them announced
+// its shutdown or has been away for long; the other follows next, as the number is even then.
 std::optional<VoterChange> removeOneOfTwo(const VoterView& view) {
     const bool mayRemoveTwo = view.voters.size() >= view.minVoters + 2;
     if (!mayRemoveTwo || view.absent.size() + view.departing.size() < 2) return std::nullopt;
@@ -29,12 +29,13 @@
     return VoterChange{Kind::removeDeparting, *view.departing.begin()};
 }
 
-// At an odd number a voter is exchanged, or two are added, or two that are away are given up.
+// With an odd number of voters, one is replaced, two are added, or two that are gone are removed.
 std::optional<VoterChange> changeOfOddVoterCount(const VoterView& view) {
     if (!view.candidates.empty()) {
-        // The one that is away goes first: the majority stays as large, and does not need the newcomer.
+        // The absent voter is removed first: the majority stays the same and does not depend on the new
+        // voter.
         if (!view.absent.empty()) return VoterChange{Kind::removeAbsent, *view.absent.begin()};
-        // One that still serves goes last: until then its vote bears the loss of another.
+        // A departing voter is removed last: until then its vote covers the loss of another.
         if (!view.departing.empty()) return VoterChange{Kind::add, view.candidates.front()};
         if (view.candidates.size() >= 2 && view.unreachable.empty())
             return VoterChange{Kind::add, view.candidates.front()};
--- a/src/control/voter_policy.hpp
+++ b/src/control/voter_policy.hpp
@@ -1,9 +1,9 @@
-// Which change of the voters comes next, from who votes, who is in reach and who could vote. A pure function:
-// free of I/O, clocks, chance and state.
+// Decides the next change of voters from the voters, the reachable members and the candidates. A pure
+// function: free of I/O, clocks, randomness and state.
 //
-// Its measure is the slack of a core: by how many the voters in reach exceed a majority. No change lowers it
-// below what the tolerance asks for; while a voter is absent, none does even if the newcomer dies as soon as
-// it votes.
+// The measure is the slack of a voter set: by how many the reachable voters exceed a majority. No change
+// lowers it below what the tolerance requires; while a voter is absent, none does even if the new voter
+// fails as soon as it votes.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 
 namespace granitereel::control {
 
-// What one member sees of the core at one moment.
+// The voter set as one member sees it at one moment.
 struct VoterView {
     std::set<std::string> voters;
-    std::set<std::string> departing;    // voters in reach that have said that they leave
-    std::set<std::string> unreachable;  // voters out of reach, for however short
-    std::set<std::string> absent;       // of these: for longer than the short bound, or after saying so
-    // Of these: for longer than the long bound, or after saying so.
+    std::set<std::string> departing;    // reachable voters that announced their shutdown
+    std::set<std::string> unreachable;  // unreachable voters, for however short
+    std::set<std::string> absent;       // of these: beyond the short timeout, or after an announced shutdown
+    // Of these: beyond the long timeout, or after an announced shutdown.
     std::set<std::string> longAbsent;
     std::vector<std::string>
-        candidates;  // members in reach without a vote, in the order in which they get one
-    // Fewer voters than this are never left, but in the middle of a replacement.
+        candidates;  // reachable members without a vote, in the order in which they get one
+    // The voter set never has fewer members than this, except in the middle of a replacement.
     std::size_t minVoters = 3;
 };
 
@@ -38,8 +38,8 @@
 std::optional<VoterChange> nextVoterChange(const VoterView& view);
 std::set<std::string> votersAfter(const std::set<std::string>& voters, const VoterChange& change);
 
-// The fewest voters whose majorities bear the loss of so many machines; a core of fewer than three bears
-// none.
+// The smallest number of voters whose majority survives the loss of `tolerance` machines. At least three:
+// fewer tolerate no loss.
 std::size_t minVotersFor(int tolerance);
 
 }  // namespace granitereel::control
