--- a/src/control/graceful_shutdown.hpp
+++ b/src/control/graceful_shutdown.hpp
@@ -41,8 +41,8 @@
     bool started_ = false, finished_ = false;
     bool flushing_ = false;
     std::set<std::string> flushed_;
-    std::uint64_t lastRequestNumber_ = 0,
-                  firstFlushNumber_ = 0;  // firstFlushNumber_: first request of the current flush
+    // `firstFlushNumber_`: the first request of the current flush.
+    std::uint64_t lastRequestNumber_ = 0, firstFlushNumber_ = 0;
     Nanos deadline_ = 0, lastRequestAt_ = 0;
 };
 
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -569,8 +569,7 @@
 
 Json ControlMember::state(Nanos now) const {
     Json primaries = Json::object();
-    for (const auto& [service, succession] : failovers_)
-        primaries[service] = {{"phase", succession->phase()}};
+    for (const auto& [service, failover] : failovers_) primaries[service] = {{"phase", failover->phase()}};
     board().under("lead/", [&](const std::string& name, const board::Record& r) {
         primaries[name.substr(5)]["lead"] = r.body;
     });
--- a/src/control/member_failover.cpp
+++ b/src/control/member_failover.cpp
@@ -78,10 +78,10 @@
     if (found != failovers_.end()) found->second->suspected(message.at("store"), now);
     // Another member may own the failover of this service; the message is forwarded once.
     if (message.value("passed", false)) return;
-    Json on = message;
-    on["passed"] = true;
+    Json forwarded = message;
+    forwarded["passed"] = true;
     for (const auto& [link, peer] : peers_)
-        if (!peer.dialled.empty()) send(link, on);
+        if (!peer.dialled.empty()) send(link, forwarded);
 }
 
 void ControlMember::handleStoreReply(std::uint64_t requestId, std::optional<StoreRow> row, Nanos now) {
@@ -116,20 +116,20 @@
     const bool majority = reachable.size() >= voterSet_.majority() && now < lease_.until();
     board().under("store/", [&](const std::string&, const board::Record& record) {
         if (!record.body.is_object()) return;
-        auto& slot = failovers_[record.body.at("service").get<std::string>()];
-        if (!slot)
-            slot = std::make_unique<Succession>(
+        auto& failover = failovers_[record.body.at("service").get<std::string>()];
+        if (!failover)
+            failover = std::make_unique<Succession>(
                 self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
                 PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
     });
     std::erase_if(reachable, [this](const std::string& voter) { return hasUnhealthyDisk(voter); });
-    for (const auto& [service, succession] : failovers_) {
-        const auto best =
+    for (const auto& [service, failover] : failovers_) {
+        const auto owner =
             std::max_element(reachable.begin(), reachable.end(), [&, &name = service](auto& a, auto& b) {
                 return rendezvousWeight(a, name) < rendezvousWeight(b, name);
             });
-        succession->own(majority && hasVote() && best != reachable.end() && *best == self_, now);
-        succession->tick(now);
+        failover->own(majority && hasVote() && owner != reachable.end() && *owner == self_, now);
+        failover->tick(now);
     }
 }
 
--- a/src/control/membership.cpp
+++ b/src/control/membership.cpp
@@ -180,7 +180,7 @@
 void Membership::handleReply(const std::string& voter, const SurveyReply& reply, Nanos now) {
     if (!pendingChange_ || reply.epoch != voterSet_.epoch || !voterSet_.voters.count(voter)) return;
     pendingChange_->replied.insert(voter);
-    if (reply.reachesAbsent) pendingChange_->reachesAbsent.insert(voter);
+    if (reply.reachesAbsent) pendingChange_->votersReachingAbsent.insert(voter);
     pendingChange_->registers.insert(reply.registers.begin(), reply.registers.end());
     advance(now);
 }
@@ -191,7 +191,8 @@
         if (isReachable(pendingChange_->change.member, now)) return abandon(now, "it is reachable again");
         // A majority must find the voter unreachable: a single broken link, in either direction, must not
         // remove a vote.
-        if (pendingChange_->replied.size() - pendingChange_->reachesAbsent.size() < voterSet_.majority())
+        if (pendingChange_->replied.size() - pendingChange_->votersReachingAbsent.size() <
+            voterSet_.majority())
             return;
     }
     reacceptAll();
--- a/src/control/membership.hpp
+++ b/src/control/membership.hpp
@@ -98,8 +98,7 @@
     struct PendingChange {
         VoterSet next;
         VoterChange change;
-        // `reachesAbsent`: voters that still reach the absent one.
-        std::set<std::string> replied, reachesAbsent, registers;
+        std::set<std::string> replied, votersReachingAbsent, registers;
         Nanos startedAt = 0, lastSurveyAt = 0;
         bool reaccepting = false, writing = false;
         std::size_t remainingReaccepts = 0;
--- a/standins/membership_rig.hpp
+++ b/standins/membership_rig.hpp
@@ -15,7 +15,7 @@
         std::uint64_t call, edition;
     };
     std::vector<Put> puts;
-    std::set<std::string> leaving, censusAskers;  // censusAskers: who has begun a change of voters
+    std::set<std::string> leaving, surveyRequesters;  // surveyRequesters: who has begun a change of voters
     std::uint64_t edition = 10, acknowledged = 0, readsChecked = 0;
     int tolerance, endedInOrder = 0;
 
@@ -74,7 +74,7 @@
             step();
             endLeaving();
             for (const Packet& packet : packets)
-                if (packet.message.at("k") == "census?") censusAskers.insert(packet.from);
+                if (packet.message.at("k") == "census?") surveyRequesters.insert(packet.from);
         }
     }
     // How long until the member has ended; within 10 s.
--- a/tests/system/membership.cpp
+++ b/tests/system/membership.cpp
@@ -371,7 +371,7 @@
     rig.comes(21);
     rig.play(millis(syncIn_ms));
     ASSERT_EQ(rig.votersAt(at(2)), (Names{at(0), at(1), at(2), at(20), at(21)}));
-    EXPECT_EQ(rig.censusAskers, Names{at(0)});
+    EXPECT_EQ(rig.surveyRequesters, Names{at(0)});
     rig.cutOff(at(2));
     for (const int reader : {0, 1, 20, 21}) EXPECT_TRUE(rig.readsAt(at(reader))) << reader;
 }
