--- a/src/control/durability_gate.hpp
+++ b/src/control/durability_gate.hpp
@@ -1,4 +1,5 @@
-// Holds back what must not leave before the writes in front of it are synced. Free of I/O and clocks.
+// Holds back outputs until all earlier writes are synced. A vote that left before its sync could be lost in
+// a crash after a majority has counted it. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +14,26 @@
 
 class DurabilityGate {
 public:
-    // A write is handed to the disk; returns its ticket. Tickets rise by one.
-    std::uint64_t written(Nanoseconds now);
-    // Takes an output that depends on the writes before it where one of them is not synced; returns whether
-    // it was taken.
-    bool holds(Output& output);
-    // Every write up to the ticket is synced: what may leave now, in its order.
-    Outputs durable(std::uint64_t ticket);
-    // When the oldest write that isn't synced was handed over; `now` where there is none.
-    Nanoseconds waitingSince(Nanoseconds now) const {
-        return waiting_.empty() ? now : waiting_.begin()->second;
+    // Registers a write handed to the disk and returns its ticket. Tickets increase by one.
+    std::uint64_t recordWrite(Nanoseconds now);
+    // Takes over an output that depends on earlier writes of which one is not synced; returns whether it
+    // did.
+    bool hold(Output& output);
+    // All writes up to the ticket are synced: returns the outputs that may leave now, in order.
+    Outputs release(std::uint64_t ticket);
+    // When the oldest unsynced write was handed over; `now` if there is none.
+    Nanoseconds oldestPendingWriteAt(Nanoseconds now) const {
+        return unsyncedWrites_.empty() ? now : unsyncedWrites_.begin()->second;
     }
 
 private:
-    struct Held {
-        std::uint64_t after = 0;
+    struct HeldOutput {
+        std::uint64_t afterTicket = 0;
         Output output;
     };
-    std::uint64_t last_ = 0;
-    std::map<std::uint64_t, Nanoseconds> waiting_;  // by ticket
-    std::deque<Held> held_;
+    std::uint64_t lastTicket_ = 0;
+    std::map<std::uint64_t, Nanoseconds> unsyncedWrites_;  // by ticket
+    std::deque<HeldOutput> held_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/register.hpp
+++ b/src/control/register.hpp
@@ -1,8 +1,8 @@
-// Registers that outlive machines: for each name a value that is changed by a function of what it was, held
-// by a majority of the core's disks before anyone is told (CASPaxos, Rystsov 2018: a round of promises, a
-// round of acceptances; no log and no leader). Two proposers at once may make each other begin anew; of what
-// was once chosen nothing is lost, and no two changes are built on the same value. Free of I/O, clocks and
-// chance.
+// Replicated registers: each name maps to a value that is changed by a function of its current value and is
+// held by a majority of the voters' disks before the change is acknowledged (CASPaxos, Rystsov 2018: one
+// round of promises, one round of acceptances; no log and no leader). Concurrent proposers may force each
+// other to retry; a chosen value is never lost, and no two changes are based on the same value. Free of
+// I/O, clocks and randomness.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,38 @@
 
 namespace granitereel::control {
 
-// What a member's disk holds of a register.
+// State of one register on a voter's disk.
 struct Slot {
     Ballot promised, accepted;
     Json value;  // null: never written
-    // `accepted` was read from other voters' disks by a recovery: no vote of this disk stands behind it, so
-    // it is no evidence that a majority has accepted.
+    // `accepted` was copied from other voters during recovery. This disk never voted for it, so it must not
+    // be counted as evidence that a majority accepted it: a value that was never chosen could be read as
+    // chosen.
     bool learned = false;
 };
 
-Json written(const Slot& slot);
-// Reads what `written` made, and slots of the earlier format, whose ballots carry no life. Throws
-// nlohmann::json::exception.
-Slot readSlot(const Json& text);
+Json slotToJson(const Slot& slot);
+// Parses the output of `slotToJson`, and slots of the earlier format, whose ballots have no process
+// incarnation. Throws nlohmann::json::exception.
+Slot slotFromJson(const Json& json);
 
-// A voter's part in promising and accepting. What it answers must not leave before the slot is on disk.
+// The acceptor of a voter. A reply must not be sent before the slot is synced to disk: a promise or
+// acceptance that a crash erases would let two different values be chosen.
 class Acceptor {
 public:
     struct Outcome {
         VoteReply reply;
-        bool changed = false;   // the slot is to be written
-        bool conflict = false;  // another value came under a ballot accepted here: a proposer's fault
+        bool changed = false;   // the slot must be written to disk
+        bool conflict = false;  // a second value under an already accepted ballot: the proposer is faulty
     };
 
     void load(const std::string& name, Slot slot) { slots_[name] = std::move(slot); }
-    // The request's epoch is not looked at.
-    Outcome answer(const VoteRequest& request);
-    const Slot& at(const std::string& name) { return slots_[name]; }
-    const std::map<std::string, Slot>& all() const { return slots_; }
-    // Takes over what another voter holds, where that is more; says whether anything changed.
-    bool merge(const std::string& name, const Slot& other);
+    // Does not check the epoch of the request; the caller does.
+    Outcome handle(const VoteRequest& request);
+    const Slot& slot(const std::string& name) { return slots_[name]; }
+    const std::map<std::string, Slot>& slots() const { return slots_; }
+    // Merges the slot of another voter where its ballots are higher; returns whether anything changed.
+    bool mergeRecovered(const std::string& name, const Slot& other);
 
 private:
     Outcome promise(Slot& slot, const VoteRequest& request);
@@ -57,87 +59,91 @@
     std::map<std::string, Slot> slots_;
 };
 
-// A change under way. `change` is given the value as it was (null: none) and returns it as it shall be; it
-// may be called more than once, and gives back the same to change nothing.
-struct Change {
+// A change of one register. `apply` maps the current value (null: none) to the new one; it may be called
+// more than once, and returns its argument to read without writing.
+struct RegisterChange {
     std::string name;
-    std::function<Json(const Json&)> change;
-    // The value that now stands, or none if no majority could be had in time: then it may stand or not.
+    std::function<Json(const Json&)> apply;
+    // Receives the chosen value, or nothing if no majority replied in time; the change may then have been
+    // chosen or not.
     std::function<void(std::optional<Json>)> done;
-    // Has it accepted again by a majority even where it stands unchanged.
-    bool anew = false;
+    // Runs the accept phase even if the value is unchanged and already chosen.
+    bool forceAccept = false;
 };
 
-// The proposers of one member: what is to be said to which members, and what came of it.
+// The proposer of one member: runs any number of changes at a time and produces the requests to voters.
 class Proposer {
 public:
-    struct Said {
+    struct OutgoingRequest {
         std::string to;
         Json message;  // a VoteRequest
     };
-    // `held`: what this member's own acceptor holds of a register.
-    using Held = std::function<const Slot&(const std::string& name)>;
-    Proposer(ProposerId self, Held held)
-        : self_(std::move(self)), held_(std::move(held)), linked_{self_.member} {}
-
-    // What is under way begins anew with the voters of a later epoch.
-    void core(Core core, Nanoseconds now);
-    const Core& core() const { return core_; }
-    // A member that has lost its disk answers anew under another incarnation: what it said before counts no
-    // more.
-    void forgets(const std::string& voter, Nanoseconds now);
-
-    void begin(Change change, Nanoseconds now, Nanoseconds until);
-    // A link to this voter is there anew: what it has not answered is asked again. Nothing is said to a voter
-    // before; of this member itself it need not be told.
-    void reached(const std::string& voter);
-    // There is no link to this voter any more.
-    void lost(const std::string& voter);
-    // A VoteReply to a request of this proposer. What comes behind a change's deadline counts no more, also
-    // where this process was frozen and has not ticked since.
-    void heard(const std::string& from, const Json& answer, Nanoseconds now);
+    // Returns the slot of a register in this member's own acceptor.
+    using LocalSlot = std::function<const Slot&(const std::string& name)>;
+    Proposer(ProposerId self, LocalSlot localSlot)
+        : self_(std::move(self)), localSlot_(std::move(localSlot)), linkedVoters_{self_.member} {}
+
+    // Restarts all running changes with the voters of a later epoch.
+    void setVoters(VoterSet voterSet, Nanoseconds now);
+    const VoterSet& voterSet() const { return voterSet_; }
+    // The voter lost its disk and returned under another incarnation. Its earlier promises and acceptances
+    // no longer count: counting them could choose a value without a majority of disks behind it.
+    void handleDiskLoss(const std::string& voter, Nanoseconds now);
+
+    void begin(RegisterChange change, Nanoseconds now, Nanoseconds deadline);
+    // A link to this voter was established: unanswered requests are sent again. Voters without a link are
+    // sent nothing; the member itself is always linked.
+    void linkUp(const std::string& voter);
+    // The last link to this voter was closed.
+    void linkDown(const std::string& voter);
+    // A VoteReply to a request of this proposer. Replies after the deadline of a change are ignored, even
+    // if this process was suspended and has not ticked since.
+    void handleReply(const std::string& from, const Json& message, Nanoseconds now);
     void tick(Nanoseconds now);
-    // Whether no change is under way.
-    bool idle() const { return running_.empty(); }
-    std::vector<Said> takeSaid() { return std::exchange(said_, {}); }
-    // What the changes that ended without a majority were short of, for the log.
+    // Whether no change is running.
+    bool idle() const { return runningChanges_.empty(); }
+    std::vector<OutgoingRequest> takeRequests() { return std::exchange(requests_, {}); }
+    // Log lines on changes that failed for want of a majority.
     std::vector<std::string> takeFailures() { return std::exchange(failures_, {}); }
-    // Links carry what is sent or end, so only a voter that abstained is asked again, after this.
-    static constexpr Nanoseconds again = milliseconds(400);
+    // A link delivers requests or closes, so only voters that abstained need to be asked again, after this
+    // interval.
+    static constexpr Nanoseconds abstentionRetryInterval = milliseconds(400);
 
 private:
-    struct Answer {
+    struct PhaseReply {
         Ballot accepted;
         bool learned = false;
     };
-    struct Running {
-        Change change;
-        Nanoseconds until = 0, sentAt = 0, resumeAt = 0;
-        Ballot ballot, best;
-        Json was, value, patch;
-        bool accepting = false, paused = false;
-        std::map<std::string, Answer> answered;   // in the present phase
-        std::map<std::string, Ballot> promisers;  // while accepting: who promised, with what it had accepted
-        std::set<std::string> asked, lacksBase;   // asked: the phase's question stands on a living link
-        int clashes = 0;
+    struct RunningChange {
+        RegisterChange change;
+        Nanoseconds deadline = 0, sentAt = 0, resumeAt = 0;
+        Ballot ballot, highestAccepted;
+        Json currentValue, newValue, patch;
+        bool accepting = false, backingOff = false;
+        std::map<std::string, PhaseReply> replies;  // in the current phase
+        // Accept phase: the voters that promised, with the ballots that they had accepted.
+        std::map<std::string, Ballot> promises;
+        // `requested`: the request of this phase was sent on a live link.
+        std::set<std::string> requested, lacksPatchBase;
+        int conflicts = 0;
     };
-    void prepare(std::uint64_t no, Running& running, Nanoseconds now);
-    void ask(std::uint64_t no, Running& running, const std::string& voter);
-    void askAll(std::uint64_t no, Running& running, Nanoseconds now);
-    void refused(Running& running, const Ballot& promised, Nanoseconds now);
-    void promised(std::uint64_t no, Running& running, const std::string& from, const VoteReply& reply,
-                  Nanoseconds now);
-    void proceed(std::uint64_t no, Running& running, Nanoseconds now);
-    bool chosenAlready(const Running& running) const;
-    void end(std::uint64_t no, std::optional<Json> value);
+    void prepare(std::uint64_t changeId, RunningChange& running, Nanoseconds now);
+    void sendRequest(std::uint64_t changeId, RunningChange& running, const std::string& voter);
+    void sendRequests(std::uint64_t changeId, RunningChange& running, Nanoseconds now);
+    void handleRefusal(RunningChange& running, const Ballot& promised, Nanoseconds now);
+    void handlePromise(std::uint64_t changeId, RunningChange& running, const std::string& from,
+                       const VoteReply& reply, Nanoseconds now);
+    void advance(std::uint64_t changeId, RunningChange& running, Nanoseconds now);
+    bool isAlreadyChosen(const RunningChange& running) const;
+    void finish(std::uint64_t changeId, std::optional<Json> value);
 
     ProposerId self_;
-    Held held_;
-    Core core_;
-    std::set<std::string> linked_;
-    std::map<std::uint64_t, Running> running_;
-    std::uint64_t nextNo_ = 1, highestRound_ = 0;
-    std::vector<Said> said_;
+    LocalSlot localSlot_;
+    VoterSet voterSet_;
+    std::set<std::string> linkedVoters_;
+    std::map<std::uint64_t, RunningChange> runningChanges_;
+    std::uint64_t nextChangeId_ = 1, highestRound_ = 0;
+    std::vector<OutgoingRequest> requests_;
     std::vector<std::string> failures_;
 };
 
--- a/standins/membership_rig.hpp
+++ b/standins/membership_rig.hpp
@@ -15,7 +15,7 @@
         std::uint64_t call, edition;
     };
     std::vector<Put> puts;
-    std::set<std::string> leaving, censusAskers;  // censusAskers: who has begun a change of voters
+    std::set<std::string> leaving, surveyRequesters;  // surveyRequesters: who has begun a change of voters
     std::uint64_t edition = 10, acknowledged = 0, readsChecked = 0;
     int tolerance, endedInOrder = 0;
 
@@ -51,7 +51,7 @@
     // SIGTERM: the process ends as soon as the member lets it.
     void leave(const std::string& name) {
         if (!members[name].control) return;
-        members[name].control->leave(now);
+        members[name].control->shutDown(now);
         leaving.insert(name);
         carry(name);
         endLeaving();
@@ -60,7 +60,7 @@
         for (auto it = leaving.begin(); it != leaving.end();) {
             const std::string name = *it;
             const Member& m = members[name];
-            if (m.control && !m.control->mayEnd()) {
+            if (m.control && !m.control->shutdownComplete()) {
                 ++it;
                 continue;
             }
@@ -74,7 +74,7 @@
             step();
             endLeaving();
             for (const Packet& packet : packets)
-                if (packet.message.at("k") == "census?") censusAskers.insert(packet.from);
+                if (packet.message.at("k") == "census?") surveyRequesters.insert(packet.from);
         }
     }
     // How long until the member has ended; within 10 s.
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -396,7 +396,7 @@
         }
     }
     void leave(Owner& owner, const ToStore& ask) {
-        const auto none = [&owner, no = ask.ask] {
+        const auto none = [&owner, no = ask.requestId] {
             owner.succession->answered(no, std::nullopt, owner.clock());
         };
         if (owner.clock() >= ask.notAfter) return none();
@@ -408,12 +408,13 @@
             if (hiddenFromControl.count(ask.store)) return;
             const auto row = say(ask.store, ask.text);
             if (owner.life != life || dark.count(ask.store) || owner.storesCut || lost()) return;
-            toOwner(owner, delay(),
-                    [&owner, no = ask.ask, row] { owner.succession->answered(no, row, owner.clock()); });
+            toOwner(owner, delay(), [&owner, no = ask.requestId, row] {
+                owner.succession->answered(no, row, owner.clock());
+            });
         });
     }
     void leave(Owner& owner, const ToPlatform& post) {
-        const auto ended = [this, &owner, no = post.ask](Nanoseconds in, PromotionAnswer answer) {
+        const auto ended = [this, &owner, no = post.requestId](Nanoseconds in, PromotionAnswer answer) {
             toOwner(owner, in,
                     [&owner, no, answer] { owner.succession->promoted(no, answer, owner.clock()); });
         };
