--- a/fuzz/wire.cpp
+++ b/fuzz/wire.cpp
@@ -37,6 +37,6 @@
     rig.leave(client);
     rig.leave(other);
     rig.run(millis(100));
-    if (rig.pooler->sessions() != 0) std::abort();
+    if (rig.pooler->sessionCount() != 0) std::abort();
     return 0;
 }
--- /dev/null
+++ b/src/proxy/agent_updates.cpp
@@ -0,0 +1,219 @@
+// What the agent says: the lease, the configuration, the stores and who leads.
+#include <algorithm>
+#include <utility>
+
+#include "proxy/pooler.hpp"
+#include "proxy/timing.hpp"
+
+namespace granitereel::proxy {
+
+namespace {
+// The only link that the proxy's board is told over.
+constexpr int agentLink = 1;
+}  // namespace
+
+void Pooler::onAgentConnected(Nanos now) {
+    advanceClock(now);
+    agentConnected_ = true;
+    leaseRequestedAt_ = 0;
+    recordReplicator_.advance(now, lease_.valid(now));
+    recordReplicator_.join(agentLink, board::Side::dialler);
+    drainWorkQueues();
+}
+
+void Pooler::onAgentDisconnected() {
+    agentConnected_ = false;
+    recordReplicator_.leave(agentLink);
+    leaseRequests_.forget();
+}
+
+void Pooler::onAgentMessage(const Json& message, Nanos now) {
+    advanceClock(now);
+    const std::string kind = message.at("k");
+    recordReplicator_.advance(now, lease_.valid(now));
+    if (board::isGossip(kind)) {
+        recordReplicator_.heard(agentLink, message);
+    } else if (kind == board::LeaseReply::kind) {
+        const board::LeaseReply leaseReply = board::LeaseReply::fromJson(message);
+        const auto requestedAt = leaseRequests_.answered(leaseReply.number);
+        if (!requestedAt) return drainWorkQueues();
+        lease_.granted(*requestedAt, leaseReply, holdsRecordsForLease(leaseReply));
+        for (auto& [name, service] : services_)
+            if (primaryIsConfirmed(*service)) service->primaryEvidence.extendSettled(lease_.until());
+        resolveUnconfirmedWrites();
+    }
+    drainWorkQueues();
+}
+
+// Whether all is here that the agent held when it gave the lease.
+bool Pooler::holdsRecordsForLease(const board::LeaseReply& leaseReply) {
+    if (!recordReplicator_.complete(agentLink)) return false;
+    const std::uint64_t held = board::configurationVersion(recordReplicator_.board());
+    if (held >= leaseReply.configuration) return true;
+    reportViolation(recordsBeforeLease_, "configuration " + std::to_string(held) + ", and the agent holds " +
+                                             std::to_string(leaseReply.configuration));
+    recordReplicator_.exchangeAnew(agentLink);
+    return false;
+}
+
+void Pooler::reportViolation(board::Invariant& invariant, const std::string& detail) {
+    if (const auto violation = invariant.check(false, detail)) log(*violation);
+}
+
+void Pooler::applyRecord(const std::string& name, const board::Record& record) {
+    if (name == "config") {
+        applyConfiguration(record.body);
+    } else if (name.starts_with("store/")) {
+        applyStoreRecord(name.substr(6), record.body);
+    } else if (name.starts_with("lead/")) {
+        applyPrimaryRecord(name.substr(5), record.body);
+    } else if (name.starts_with("front/")) {
+        int proxies = 0;
+        recordReplicator_.board().under(
+            "front/", [&](auto&, const board::Record& front) { proxies += front.body.is_object(); });
+        proxyCount_ = std::max(1, proxies);
+        router_.present(proxyCount_);
+    }
+}
+
+void Pooler::applyConfiguration(const Json& body) {
+    // Of what stands on the board only higher versions come here; what was once in force is never gone back
+    // from.
+    const std::uint64_t previous = configuration_.edition;
+    configuration_ = configuration::read(body);
+    if (configured_ && configuration_.edition <= previous)
+        reportViolation(configurationsIncrease_,
+                        std::to_string(configuration_.edition) + " after " + std::to_string(previous));
+    if (!std::exchange(configured_, true)) configuredAt_ = now_;
+    for (const configuration::Service& each : configuration_.services) {
+        Service& service = findOrAddService(each.name);
+        service.connectionSlots = each.berthCap;
+        service.syncReplicas = each.syncReplicas;
+    }
+    outputs_.push_back(WriteLog{"configuration " + std::to_string(configuration_.edition) + " in force"});
+}
+
+Pooler::Service& Pooler::findOrAddService(const std::string& name) {
+    auto& slot = services_[name];
+    if (!slot) {
+        slot = std::make_unique<Service>();
+        slot->name = name;
+        slot->group = static_cast<int>(services_.size());
+        servicesByGroup_[slot->group] = slot.get();
+    }
+    return *slot;
+}
+
+void Pooler::applyStoreRecord(const std::string& id, const Json& body) {
+    auto found = stores_.find(id);
+    if (body.is_null()) {
+        if (found == stores_.end()) return;
+        found->second->removed = true;
+        updateRouterState(*found->second);
+        for (const int connectionId : std::set<int>(found->second->idleConnections))
+            closeConnection(*connections_.at(connectionId));
+        return;
+    }
+    if (found == stores_.end()) {
+        found = stores_.emplace(id, std::make_unique<Store>()).first;
+        found->second->id = id;
+    }
+    Store& store = *found->second;
+    Service& service = findOrAddService(body.at("service"));
+    const std::string address = body.at("address");
+    if (store.address != address)
+        for (const int connectionId : std::set<int>(store.idleConnections))
+            closeConnection(*connections_.at(connectionId));
+    store.address = address;
+    store.district = body.value("district", "");
+    store.role = body.value("role", "");
+    store.recordedState = body.value("standing", "");
+    store.removed = false;
+    store.service = &service;
+    service.stores[id] = &store;
+    if (store.recordedState == "accepting")
+        store.drainingSince = 0;
+    else if (!store.drainingSince)
+        store.drainingSince = now_;
+    updateRouterState(store);
+}
+
+// A primary that winds down leads until its successor does, for as long as it may be used at all.
+void Pooler::updateRouterState(Store& store) {
+    Service& service = *store.service;
+    Standing state = store.removed         ? Standing::removed
+                     : store.drainingSince ? Standing::draining
+                                           : Standing::up;
+    if (state == Standing::draining && service.primary == store.id &&
+        now_ - store.drainingSince < millis(settings_.drain_ms - 1500))
+        state = Standing::up;
+    const int zone =
+        districtIndexes_.try_emplace(store.district, static_cast<int>(districtIndexes_.size())).first->second;
+    router_.listBegins(false);
+    router_.listEntry(store.id, service.group, zone, state, 0, false);
+    router_.listEnds();
+    router_.leads(service.group, service.primary);
+}
+
+void Pooler::applyPrimaryRecord(const std::string& name, const Json& body) {
+    if (!body.is_object()) return;
+    Service& service = findOrAddService(name);
+    const std::string previous = std::exchange(service.primary, body.at("store").get<std::string>());
+    service.term = body.at("term");
+    service.seq = body.at("seq");
+    service.steady = body.at("steady");
+    service.primaryEvidence.updateRecord(service.term, readMark(body.value("retained", "")));
+    service.replicaEvidence.updateRecord(service.term, body.value("replicas", std::set<std::string>()));
+    if (previous != service.primary) onPrimaryChanged(service, previous);
+    resolveUnconfirmedWrites();
+    resumeDeferredWrites(service);
+}
+
+void Pooler::onPrimaryChanged(Service& service, const std::string& previous) {
+    router_.leads(service.group, service.primary);
+    for (auto& [id, store] : service.stores)
+        if (store->drainingSince) updateRouterState(*store);
+    outputs_.push_back(WriteLog{service.name + " is led by " + service.primary + " in term " +
+                                std::to_string(service.term)});
+    if (!previous.empty()) abandonFormerPrimary(previous);
+}
+
+// Whatever of ours is open at a store that led ends there: its plain transactions can't go on, and what it
+// was asked to commit it will not answer for. What only waited for a connection goes to the next lead at
+// once.
+void Pooler::abandonFormerPrimary(const std::string& storeId) {
+    std::vector<StoreConnection*> abandoned;
+    for (auto& [connectionId, connection] : connections_) {
+        if (connection->store->id != storeId || !connection->session || connection->closed) continue;
+        const Session& session = *connection->session;
+        const bool needsPrimary =
+            session.transaction ? !session.transaction->readOnly : session.pending && session.pending->writes;
+        if (needsPrimary) abandoned.push_back(connection.get());
+    }
+    for (StoreConnection* connection : abandoned) {
+        Session* session = connection->session;
+        closeConnection(*connection);
+        if (session) onConnectionLost(*session, *connection);
+    }
+    const auto found = stores_.find(storeId);
+    if (found != stores_.end()) failWaitingClients(*found->second, Ending::unsent);
+}
+
+// A front whose record may have been taken down has no share any more but for one connection.
+int Pooler::connectionShare(const Service& service) const {
+    if (now_ - std::max(lease_.until(), startedAt_) > board::presumedGoneAfter) return 1;
+    // Some are left to control, which asks stores how they are.
+    return service.connectionSlots == 0 ? 64 : std::max(1, (service.connectionSlots - 2) / proxyCount_);
+}
+
+void Pooler::reportSuspect(Store& store, const char* why) {
+    if (!store.service || store.service->primary != store.id ||
+        now_ - store.suspectReportedAt < storeSilenceLimit)
+        return;
+    store.suspectReportedAt = now_;
+    if (agentConnected_)
+        outputs_.push_back(SendToAgent{
+            {{"k", "suspect"}, {"service", store.service->name}, {"store", store.id}, {"why", why}}});
+}
+
+}  // namespace granitereel::proxy
--- /dev/null
+++ b/src/proxy/commit_horizon.cpp
@@ -0,0 +1,57 @@
+#include "proxy/commit_horizon.hpp"
+
+#include <algorithm>
+
+namespace granitereel::proxy {
+
+namespace {
+// Pairs closer together than this tell no more; kept for longer than any staleness worth a replica.
+constexpr Nanos minPairSpacing = millis(20);
+constexpr std::size_t maxPairs = 400;
+}  // namespace
+
+void CommitHorizon::observe(const Mark& position, Nanos sentAt) {
+    // Answers overtake each other: one to a later question may show less than one heard before, and covers
+    // its moment all the same only with the greater of both.
+    if (!pairs_.empty()) {
+        Pair& last = pairs_.back();
+        if (sentAt <= last.sentAt) return;
+        const Mark highest = std::max(position, last.position);
+        if (sentAt - last.sentAt < minPairSpacing && pairs_.size() > 1 &&
+            sentAt - pairs_[pairs_.size() - 2].sentAt < minPairSpacing) {
+            last = {highest, sentAt};
+            return;
+        }
+        pairs_.push_back({highest, sentAt});
+    } else {
+        pairs_.push_back({position, sentAt});
+    }
+    if (pairs_.size() > maxPairs) pairs_.pop_front();
+}
+
+std::optional<Mark> CommitHorizon::positionCovering(Nanos since) const {
+    return positionCovering(since, 0);
+}
+
+std::optional<Mark> CommitHorizon::positionCovering(Nanos since, std::uint64_t term) const {
+    auto found = std::lower_bound(pairs_.begin(), pairs_.end(), since,
+                                  [](const Pair& pair, Nanos when) { return pair.sentAt < when; });
+    while (found != pairs_.end() && found->position.term < term) ++found;
+    if (found == pairs_.end()) return {};
+    return found->position;
+}
+
+std::optional<Nanos> CommitHorizon::coveredUntil(const Mark& position) const {
+    auto above =
+        std::upper_bound(pairs_.begin(), pairs_.end(), position,
+                         [](const Mark& wanted, const Pair& pair) { return wanted < pair.position; });
+    if (above == pairs_.begin()) return {};
+    return std::prev(above)->sentAt;
+}
+
+std::optional<Nanos> CommitHorizon::newestTime() const {
+    if (pairs_.empty()) return {};
+    return pairs_.back().sentAt;
+}
+
+}  // namespace granitereel::proxy
--- a/src/proxy/horizon.hpp
+++ b/src/proxy/commit_horizon.hpp
@@ -12,25 +12,25 @@
 
 namespace granitereel::proxy {
 
-class Horizon {
+class CommitHorizon {
 public:
     // All commits acknowledged before `asked` lie at or below `mark`.
-    void saw(const Mark& mark, Nanos asked);
+    void observe(const Mark& position, Nanos sentAt);
     // The lowest position known to hold every commit acknowledged before `since`.
-    std::optional<Mark> covering(Nanos since) const;
+    std::optional<Mark> positionCovering(Nanos since) const;
     // As that, and of this term or a later one.
-    std::optional<Mark> covering(Nanos since, std::uint64_t term) const;
+    std::optional<Mark> positionCovering(Nanos since, std::uint64_t term) const;
     // Every commit acknowledged before this lies at or below the position; none: nothing of the kind is
     // known.
-    std::optional<Nanos> holds(const Mark& mark) const;
+    std::optional<Nanos> coveredUntil(const Mark& position) const;
     // The latest moment for which anything is known.
-    std::optional<Nanos> newest() const;
+    std::optional<Nanos> newestTime() const;
     bool empty() const { return pairs_.empty(); }
 
 private:
     struct Pair {
-        Mark mark;
-        Nanos asked;
+        Mark position;
+        Nanos sentAt;
     };
     std::deque<Pair> pairs_;  // both grow
 };
--- a/src/proxy/pooler.cpp
+++ b/src/proxy/pooler.cpp
@@ -13,9 +13,9 @@
     // Pools are dealt rotated by a number of the front's own.
     charter.front = static_cast<int>(std::hash<std::string>()(settings.station) % 1024);
     charter.zone = zone;
-    charter.launchLimit = launchLimit;
+    charter.launchLimit = maxAttempts;
     charter.mayProbe = charter.mayCancel = charter.adviceHeard = true;
-    charter.longestAdvice = millis(10 * comeBack_ms);
+    charter.longestAdvice = millis(10 * retryAdvice_ms);
     charter.tick = millis(1);
     charter.crossingCost = 0.01;
     charter.nearAnyTier = true;
@@ -28,188 +28,200 @@
     : settings_(settings),
       now_(now),
       startedAt_(now),
-      gossip_([this](int, Json message) { outputs_.push_back(ToAgent{std::move(message)}); },
-              [this](const std::string& name, const board::Record& record) { news(name, record); }),
-      front_(charterOf(settings, 0), seed, now, *this) {
-    districts_[settings.district] = 0;
+      recordReplicator_(
+          [this](int, Json message) { outputs_.push_back(SendToAgent{std::move(message)}); },
+          [this](const std::string& name, const board::Record& record) { applyRecord(name, record); }),
+      router_(charterOf(settings, 0), seed, now, *this) {
+    districtIndexes_[settings.district] = 0;
 }
 
 Pooler::~Pooler() = default;
 
-void Pooler::begin(Nanos now) {
+void Pooler::advanceClock(Nanos now) {
     now_ = now;
-    front_.clock(now);
+    router_.clock(now);
 }
 
 // What the module asked for while it was told something is done behind it.
-void Pooler::settle() {
+void Pooler::drainWorkQueues() {
     for (;;) {
-        if (!cancels_.empty()) {
-            const auto [key, launchNo] = std::move(cancels_.front());
-            cancels_.pop_front();
-            cancelLaunch(key, launchNo);
-        } else if (!launches_.empty()) {
-            const auto [key, store] = std::move(launches_.front());
-            launches_.pop_front();
-            placeLaunch(key, store);
-        } else if (!probes_.empty()) {
-            const std::string id = std::move(probes_.front());
-            probes_.pop_front();
+        if (!cancelQueue_.empty()) {
+            const auto [key, attemptNumber] = std::move(cancelQueue_.front());
+            cancelQueue_.pop_front();
+            abandonAttempt(key, attemptNumber);
+        } else if (!attemptQueue_.empty()) {
+            const auto [key, store] = std::move(attemptQueue_.front());
+            attemptQueue_.pop_front();
+            executeAttempt(key, store);
+        } else if (!probeQueue_.empty()) {
+            const std::string id = std::move(probeQueue_.front());
+            probeQueue_.pop_front();
             probeStore(id);
-        } else if (!woken_.empty()) {
-            const int client = woken_.front();
-            woken_.pop_front();
-            const auto at = sessions_.find(client);
-            if (at != sessions_.end()) proceed(*at->second);
+        } else if (!readyClients_.empty()) {
+            const int client = readyClients_.front();
+            readyClients_.pop_front();
+            const auto found = sessions_.find(client);
+            if (found != sessions_.end()) processQueue(*found->second);
         } else {
             break;
         }
     }
-    for (const int no : buried_) lines_.erase(no);
-    buried_.clear();
+    for (const int connectionId : closedConnections_) connections_.erase(connectionId);
+    closedConnections_.clear();
 }
 
-void Pooler::cancelLaunch(const std::string& key, int launchNo) {
-    const auto at = byKey_.find(key);
-    if (at == byKey_.end()) return;
-    Session& s = *at->second;
-    if (!s.op || s.op->launches - 1 != launchNo || !s.op->store) return;
-    Store& store = *s.op->store;
-    if (s.op->line)
-        letGo(*s.op->line);
+void Pooler::abandonAttempt(const std::string& key, int attemptNumber) {
+    const auto found = sessionsByKey_.find(key);
+    if (found == sessionsByKey_.end()) return;
+    Session& session = *found->second;
+    if (!session.pending || session.pending->attempts - 1 != attemptNumber || !session.pending->store) return;
+    Store& store = *session.pending->store;
+    if (session.pending->connection)
+        releaseConnection(*session.pending->connection);
     else
-        unwait(s);
-    s.op->line = nullptr;
-    s.op->store = nullptr;
-    s.op->sent = s.op->preluding = false;
-    report(launchedOf(*s.op), store, Ending::cancelled, {}, false);
+        removeFromWaiting(session);
+    session.pending->connection = nullptr;
+    session.pending->store = nullptr;
+    session.pending->sent = session.pending->preparing = false;
+    reportOutcome(attemptOf(*session.pending), store, Ending::cancelled, {}, false);
 }
 
-void Pooler::placeLaunch(const std::string& key, const std::string& store) {
-    const auto at = byKey_.find(key);
-    if (at != byKey_.end()) place(*at->second, store);
+void Pooler::executeAttempt(const std::string& key, const std::string& store) {
+    const auto found = sessionsByKey_.find(key);
+    if (found != sessionsByKey_.end()) assignStore(*found->second, store);
 }
 
 // Where Front would ask how fresh a replica is: the next read finds out, as it goes behind a position that
 // the store itself checks. Only one that may be away is tried, by a connection.
 void Pooler::probeStore(const std::string& id) {
-    const auto at = stores_.find(id);
-    if (at == stores_.end()) return front_.probed(id, Ending::unreachable);
-    Store& store = *at->second;
-    const bool open = std::any_of(lines_.begin(), lines_.end(), [&](auto& each) {
-        return each.second->store == &store && each.second->open && !each.second->dead;
+    const auto found = stores_.find(id);
+    if (found == stores_.end()) return router_.probed(id, Ending::unreachable);
+    Store& store = *found->second;
+    const bool open = std::any_of(connections_.begin(), connections_.end(), [&](auto& each) {
+        return each.second->store == &store && each.second->open && !each.second->closed;
     });
-    if (open && now_ - store.suspectedAt > millis(1000)) {
-        if (const auto newest = store.service->horizon.newest()) front_.reported(id, *newest, {});
-        front_.probed(id, Ending::delivered);
+    if (open && now_ - store.suspectReportedAt > millis(1000)) {
+        if (const auto newestTime = store.service->commitHorizon.newestTime())
+            router_.reported(id, *newestTime, {});
+        router_.probed(id, Ending::delivered);
     } else if (!store.probing) {
         store.probing = true;
-        openLine(store, true);
+        openConnection(store, true);
     }
 }
 
 // The first lease comes soon after the configuration where control is there; until then no success of a write
 // could be told. It is not waited for for long: reads are served without it.
 bool Pooler::ready() const {
-    const bool settled = std::all_of(services_.begin(), services_.end(), [](const auto& each) {
-        return each.second->evidence.settledUntil() > 0;
+    const bool everSettled = std::all_of(services_.begin(), services_.end(), [](const auto& each) {
+        return each.second->primaryEvidence.settledUntil() > 0;
     });
-    const bool waitsNoMore = settled || now_ - configuredAt_ >= firstLeaseWithin;
-    return configured_ && !stores_.empty() && waitsNoMore && !leaving_;
+    const bool leaseWaitOver = everSettled || now_ - configuredAt_ >= maxFirstLeaseWait;
+    return configured_ && !stores_.empty() && leaseWaitOver && !shuttingDown_;
 }
 
-void Pooler::leave(Nanos now) {
-    begin(now);
-    if (!leaving_) leftAt_ = now;
-    leaving_ = true;
+void Pooler::beginShutdown(Nanos now) {
+    advanceClock(now);
+    if (!shuttingDown_) shutdownStartedAt_ = now;
+    shuttingDown_ = true;
 }
 
 void Pooler::tick(Nanos now) {
-    begin(now);
-    gossip_.advance(now, lease_.valid(now));
-    if (auto line = contact_.seen(lease_.until(), now)) log(*line);
-    askForLease();
-    if (now >= wakeAt_) front_.woke(0);
-    settle();
-    if (now - sweptAt_ < sweepEvery) return;
-    sweptAt_ = now;
-    std::vector<Line*> all;
-    for (auto& [no, line] : lines_)
-        if (!line->dead) all.push_back(line.get());
-    for (Line* line : all)
-        if (!line->dead) sweepLine(*line);
-    refuseLate();
-    judgeUnproven();
-    askReplicas();
-    for (auto& [name, of] : services_) {
-        const auto lead = of->stores.find(of->lead);
-        if (lead != of->stores.end() && lead->second->windingSince) standing(*lead->second);
+    advanceClock(now);
+    recordReplicator_.advance(now, lease_.valid(now));
+    if (auto message = controlContact_.seen(lease_.until(), now)) log(*message);
+    requestLease();
+    if (now >= routerWakeAt_) router_.woke(0);
+    drainWorkQueues();
+    if (now - lastSweepAt_ < sweepInterval) return;
+    lastSweepAt_ = now;
+    std::vector<StoreConnection*> open;
+    for (auto& [connectionId, connection] : connections_)
+        if (!connection->closed) open.push_back(connection.get());
+    for (StoreConnection* connection : open)
+        if (!connection->closed) checkTimeouts(*connection);
+    rejectExpiredWaiters();
+    resolveUnconfirmedWrites();
+    queryReplicas();
+    for (auto& [name, service] : services_) {
+        const auto primary = service->stores.find(service->primary);
+        if (primary != service->stores.end() && primary->second->drainingSince)
+            updateRouterState(*primary->second);
     }
-    if (leaving_ && now - leftAt_ > leftAfter) endLeaving();
-    settle();
+    if (shuttingDown_ && now - shutdownStartedAt_ > minShutdownDelay) closeDrainedSessions();
+    drainWorkQueues();
 }
 
-void Pooler::askForLease() {
-    if (!agent_ || now_ - askedAt_ < leaseAskEvery) return;
-    askedAt_ = now_;
-    outputs_.push_back(ToAgent{board::LeaseRequest{leaseQuestions_.ask(now_)}.toJson()});
+void Pooler::requestLease() {
+    if (!agentConnected_ || now_ - leaseRequestedAt_ < leaseRequestInterval) return;
+    leaseRequestedAt_ = now_;
+    outputs_.push_back(SendToAgent{board::LeaseRequest{leaseRequests_.ask(now_)}.toJson()});
 }
 
-void Pooler::sweepLine(Line& line) {
-    if (!line.expects.empty() && now_ - std::max(line.askedAt, line.store->heard) > silent)
-        suspect(*line.store, "silent");
-    if (!line.open && now_ - line.askedAt > openingMost) {
-        outputs_.push_back(CloseLine{line.no});
-        return ended(line, false);
+void Pooler::checkTimeouts(StoreConnection& connection) {
+    if (!connection.expectedSteps.empty() &&
+        now_ - std::max(connection.sentAt, connection.store->lastReceivedAt) > storeSilenceLimit)
+        reportSuspect(*connection.store, "silent");
+    if (!connection.open && now_ - connection.sentAt > connectTimeout) {
+        outputs_.push_back(CloseStoreConnection{connection.id});
+        return onConnectionClosed(connection, false);
     }
-    if (line.abandonedAt && now_ - line.abandonedAt > abandonedMost) return drop(line);
-    if (!line.user && line.expects.empty() && line.open && now_ - line.usedAt > idleLine) drop(line);
-    Session* s = line.user;
-    if (!s) return;
-    if (!s->op)
-        endRest(*s, line);
-    else if (s->op->line == &line && now_ >= s->op->deadline)
-        timeOver(*s, line);
+    if (connection.abandonedAt && now_ - connection.abandonedAt > abandonedTimeout)
+        return closeConnection(connection);
+    if (!connection.session && connection.expectedSteps.empty() && connection.open &&
+        now_ - connection.lastUsedAt > idleConnectionTimeout)
+        closeConnection(connection);
+    Session* session = connection.session;
+    if (!session) return;
+    if (!session->pending)
+        abortIdleTransaction(*session, connection);
+    else if (session->pending->connection == &connection && now_ >= session->pending->deadline)
+        onDeadlineExceeded(*session, connection);
 }
 
 // Rolls back a transaction that rests for too long, or past the first half of the time to end.
-void Pooler::endRest(Session& s, Line& line) {
-    if (!s.tx || !s.tx->begun) return;
-    const bool rests = configuration_.txIdle_ms > 0 && now_ - s.restsSince > millis(configuration_.txIdle_ms);
-    const bool ends = leaving_ && now_ - leftAt_ > millis(settings_.grace_ms / 2);
-    if (!rests && !ends) return;
-    release(line, "-");
-    s.line = nullptr;
-    s.tx->begun = false;
-    s.state = 'E';
+void Pooler::abortIdleTransaction(Session& session, StoreConnection& connection) {
+    if (!session.transaction || !session.transaction->begun) return;
+    const bool idleTooLong =
+        configuration_.txIdle_ms > 0 && now_ - session.idleSince > millis(configuration_.txIdle_ms);
+    const bool shutdownDue = shuttingDown_ && now_ - shutdownStartedAt_ > millis(settings_.grace_ms / 2);
+    if (!idleTooLong && !shutdownDue) return;
+    rollBackAndRelease(connection, "-");
+    session.connection = nullptr;
+    session.transaction->begun = false;
+    session.state = 'E';
 }
 
 // What waits for a connection past its time is told so.
-void Pooler::refuseLate() {
-    std::vector<Session*> late;
-    for (auto& [key, s] : byKey_)
-        if (s->op && s->op->store && !s->op->line && now_ >= s->op->deadline) late.push_back(s);
-    for (Session* s : late) {
-        const Launched launched = launchedOf(*s->op);
-        Store& store = *s->op->store;
-        s->op->lastError = Error::busy;
-        s->op->lastText = "no connection; come back in " + std::to_string(comeBack_ms) + " ms";
-        answerLast(*s);
-        report(launched, store, Ending::unsent, {}, true);
+void Pooler::rejectExpiredWaiters() {
+    std::vector<Session*> expired;
+    for (auto& [key, session] : sessionsByKey_)
+        if (session->pending && session->pending->store && !session->pending->connection &&
+            now_ >= session->pending->deadline)
+            expired.push_back(session);
+    for (Session* session : expired) {
+        const RoutedAttempt attempt = attemptOf(*session->pending);
+        Store& store = *session->pending->store;
+        session->pending->lastError = Error::busy;
+        session->pending->lastErrorText =
+            "no connection; come back in " + std::to_string(retryAdvice_ms) + " ms";
+        replyWithLastError(*session);
+        reportOutcome(attempt, store, Ending::unsent, {}, true);
     }
 }
 
 // Ends sessions at rest, and all of them shortly before the time to end is over.
-void Pooler::endLeaving() {
-    const bool all = now_ - leftAt_ > millis(settings_.grace_ms - 500);
-    std::vector<int> rest;
-    for (auto& [client, s] : sessions_) {
-        const bool atRest = !s->op && ((s->state == 'I' && s->queue.empty()) || s->state == 'E');
-        if (atRest || all) rest.push_back(client);
+void Pooler::closeDrainedSessions() {
+    const bool all = now_ - shutdownStartedAt_ > millis(settings_.grace_ms - 500);
+    std::vector<int> closing;
+    for (auto& [client, session] : sessions_) {
+        const bool isIdle = !session->pending && ((session->state == 'I' && session->requestQueue.empty()) ||
+                                                  session->state == 'E');
+        if (isIdle || all) closing.push_back(client);
     }
-    for (const int client : rest) {
-        outputs_.push_back(EndClient{client});
-        remove(client);
+    for (const int client : closing) {
+        outputs_.push_back(CloseClient{client});
+        removeSession(client);
     }
 }
 
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -20,10 +20,10 @@
 #include "board/lease.hpp"
 #include "configuration/configuration.hpp"
 #include "front.hpp"
-#include "proxy/answer.hpp"
-#include "proxy/horizon.hpp"
-#include "proxy/lead_evidence.hpp"
+#include "proxy/commit_horizon.hpp"
+#include "proxy/primary_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
+#include "proxy/store_response.hpp"
 #include "proxy/wire.hpp"
 #include "settings/settings.hpp"
 
@@ -31,38 +31,39 @@
 
 using Json = nlohmann::json;
 
-struct ToClient {
+struct SendToClient {
     int client = 0;
     std::string bytes;
 };
-struct EndClient {  // what was sent is written first
+struct CloseClient {  // what was sent is written first
     int client = 0;
 };
-struct HoldClient {  // reads no more from it for now
+struct SetClientPaused {  // reads no more from it for now
     int client = 0;
-    bool on = false;
+    bool paused = false;
 };
-struct OpenLine {
-    int line = 0;
+struct OpenStoreConnection {
+    int connection = 0;
     std::string address;
 };
-struct ToLine {
-    int line = 0;
+struct SendToStore {
+    int connection = 0;
     std::string bytes;
 };
-struct CloseLine {
-    int line = 0;
+struct CloseStoreConnection {
+    int connection = 0;
 };
-struct ToAgent {
+struct SendToAgent {
     Json message;
 };
-struct ToLog {
+struct WriteLog {
     std::string text;
 };
-using Output = std::variant<ToClient, EndClient, HoldClient, OpenLine, ToLine, CloseLine, ToAgent, ToLog>;
+using Output = std::variant<SendToClient, CloseClient, SetClientPaused, OpenStoreConnection, SendToStore,
+                            CloseStoreConnection, SendToAgent, WriteLog>;
 
 // What has happened since the start, for the log.
-struct Counts {
+struct Counters {
     std::uint64_t sessions = 0, statements = 0, transactions = 0, answered = 0, promised = 0, indoubt = 0,
                   opened = 0, outOfStep = 0, unproven = 0, deferred = 0;
     std::uint64_t own = 0, guarded = 0, lagging = 0, leadNear = 0, leadFar = 0, replicaNear = 0,
@@ -74,266 +75,270 @@
     Pooler(const settings::Settings& settings, std::uint64_t seed, Nanos now);
     ~Pooler() override;
 
-    void clientCame(int client, Nanos now);
-    void clientSaid(int client, std::string_view line, Nanos now);
-    void clientLeft(int client, Nanos now);
-    void lineOpened(int line, Nanos now);
-    void lineSaid(int line, std::string_view text, Nanos now);
-    void lineEnded(int line, bool refused, Nanos now);
+    void onClientConnected(int client, Nanos now);
+    void onClientLine(int client, std::string_view message, Nanos now);
+    void onClientDisconnected(int client, Nanos now);
+    void onStoreConnected(int connection, Nanos now);
+    void onStoreLine(int connection, std::string_view text, Nanos now);
+    void onStoreDisconnected(int connection, bool refused, Nanos now);
     // The link to the agent: it is there, it is lost, it says something.
-    void agentUp(Nanos now);
-    void agentDown();
-    void agentSaid(const Json& message, Nanos now);
+    void onAgentConnected(Nanos now);
+    void onAgentDisconnected();
+    void onAgentMessage(const Json& message, Nanos now);
     void tick(Nanos now);
     // The process is told to end: sessions at rest are closed, transactions are given `half` to end.
-    void leave(Nanos now);
+    void beginShutdown(Nanos now);
     bool ready() const;
-    bool over() const { return leaving_ && sessions_.empty(); }
+    bool drained() const { return shuttingDown_ && sessions_.empty(); }
 
-    std::vector<Output> take() { return std::exchange(outputs_, {}); }
-    const Counts& counts() const { return counts_; }
+    std::vector<Output> takeOutputs() { return std::exchange(outputs_, {}); }
+    const Counters& counters() const { return counters_; }
     // How often one of its invariants was found broken.
     std::uint64_t violations() const {
-        return newsBeforeLease_.violations() + configurationsRise_.violations();
+        return recordsBeforeLease_.violations() + configurationsIncrease_.violations();
     }
-    std::size_t sessions() const { return sessions_.size(); }
-    std::size_t lines() const { return lines_.size(); }
+    std::size_t sessionCount() const { return sessions_.size(); }
+    std::size_t connectionCount() const { return connections_.size(); }
 
 private:
     struct Service;
     struct Store {
-        std::string id, address, district, standing, role;
+        std::string id, address, district, recordedState, role;
         Service* service = nullptr;
-        std::set<int> idle;
-        int lines = 0;
-        bool gone = false, probing = false;
-        Nanos windingSince = 0, heard = 0, suspectedAt = 0;
-        std::deque<int> waiting;  // clients whose statement waits for a line
+        std::set<int> idleConnections;
+        int connectionCount = 0;
+        bool removed = false, probing = false;
+        Nanos drainingSince = 0, lastReceivedAt = 0, suspectReportedAt = 0;
+        std::deque<int> waitingClients;  // clients whose statement waits for a line
     };
     struct Service {
         std::string name;
-        int group = 0, berthCap = 0;
-        std::string lead;
+        int group = 0, connectionSlots = 0;
+        std::string primary;
         std::uint64_t term = 0, seq = 0;
         bool steady = false;
-        LeadEvidence evidence;
-        ReplicaEvidence replicas;
+        PrimaryEvidence primaryEvidence;
+        ReplicaEvidence replicaEvidence;
         int syncReplicas = 0;
-        Nanos usedAt = 0;          // when a client's statement was last sent to one of its stores
-        std::deque<int> deferred;  // clients whose write waits until the lead is settled
-        Horizon horizon;
+        Nanos lastUsedAt = 0;             // when a client's statement was last sent to one of its stores
+        std::deque<int> deferredClients;  // clients whose write waits until the lead is settled
+        CommitHorizon commitHorizon;
         std::map<std::string, Store*> stores;
     };
-    struct Prepared {
+    struct PreparedStatement {
         bool writes = false;
-        std::string shape;
-        bool operator==(const Prepared&) const = default;
+        std::string text;
+        bool operator==(const PreparedStatement&) const = default;
     };
-    enum class Part { prelude, begin, main, cleanup, status };
+    enum class ExchangeStep { setup, begin, statement, rollback, status };
     struct Session;
-    struct Line {
-        int no = 0;
+    struct StoreConnection {
+        int id = 0;
         std::string address;  // where it was opened; the store may have moved since
         Store* store = nullptr;
-        bool open = false, probe = false, dead = false;
-        std::map<std::string, std::string> values;
-        std::set<std::string> prepared;
-        Session* user = nullptr;  // whose statement or transaction it serves
-        bool inTx = false;        // the store holds a transaction of ours open
-        std::deque<Part> expects;
-        AnswerReader reader;
-        Nanos askedAt = 0, usedAt = 0, heardAt = 0, abandonedAt = 0;
+        bool open = false, isProbe = false, closed = false;
+        std::map<std::string, std::string> variables;
+        std::set<std::string> preparedNames;
+        Session* session = nullptr;  // whose statement or transaction it serves
+        bool inTransaction = false;  // the store holds a transaction of ours open
+        std::deque<ExchangeStep> expectedSteps;
+        StoreResponseReader responseReader;
+        Nanos sentAt = 0, lastUsedAt = 0, lastReceivedAt = 0, abandonedAt = 0;
         // It was open while its service's lead was settled: its store has not started since.
-        bool witness = false;
+        bool openedWhileSettled = false;
         // A success of what it was asked last shows that the store had the lead when it was asked.
-        bool proven = false;
+        bool provesPrimary = false;
     };
     // The success of a write whose client was not told yet.
-    struct Unproven {
+    struct UnconfirmedWrite {
         Service* service = nullptr;
-        Answer answer;
+        StoreResponse response;
         AcknowledgedWrite write;
     };
     // A statement in hand.
-    struct Op {
+    struct PendingStatement {
         Statement statement;
         std::string key;  // by which Front knows it; empty: it goes to the line that the session is pinned to
-        std::string after, text;  // as the store gets it
-        std::string prepared;
-        int lane = 0, launches = 0;
-        bool writes = false, commit = false, guarded = false, sent = false, preluding = false;
+        std::string afterClause, text;  // as the store gets it
+        std::string preparedName;
+        int lane = 0, attempts = 0;
+        bool writes = false, commit = false, guarded = false, sent = false, preparing = false;
         bool deferred = false;  // a write that waits until the lead is settled
-        std::optional<Unproven> unproven;
+        std::optional<UnconfirmedWrite> unconfirmed;
         Store* store = nullptr;
-        Line* line = nullptr;
-        Nanos came = 0, launchedAt = 0, deadline = 0;
+        StoreConnection* connection = nullptr;
+        Nanos receivedAt = 0, attemptStartedAt = 0, deadline = 0;
         std::optional<Error> lastError;
-        std::string lastText;
+        std::string lastErrorText;
     };
     // One launch of a statement, as Front knows it; without a key it does not.
-    struct Launched {
+    struct RoutedAttempt {
         std::string key;
         int number = 0;
-        Nanos at = 0;
+        Nanos startedAt = 0;
     };
-    struct Tx {
-        Tx() {}  // clang wants it before the class around it is whole
+    struct OpenTransaction {
+        OpenTransaction() {}  // clang wants it before the class around it is whole
         bool readOnly = false, begun = false;
-        bool wrote = false;    // a write was sent
-        bool written = false;  // a write has succeeded
+        bool writeSent = false;       // a write was sent
+        bool writeSucceeded = false;  // a write has succeeded
         std::string beginId;
-        Nanos came = 0;
+        Nanos receivedAt = 0;
         configuration::Route route;
     };
     struct Session {
         int client = 0;
-        bool greeted = false, gone = false, held = false;
+        bool greeted = false, removed = false, readsPaused = false;
         std::string database;
         char state = 'I';
-        std::map<std::string, std::string> values;
-        std::map<std::string, Prepared> prepared;
-        std::optional<Tx> tx;
-        std::optional<Op> op;
-        Line* line = nullptr;  // pinned to
-        std::optional<Mark> own;
-        Nanos ownAt = 0, restsSince = 0;
-        std::deque<std::string> queue;
-        std::size_t queued = 0;
+        std::map<std::string, std::string> variables;
+        std::map<std::string, PreparedStatement> preparedStatements;
+        std::optional<OpenTransaction> transaction;
+        std::optional<PendingStatement> pending;
+        StoreConnection* connection = nullptr;  // pinned to
+        std::optional<Mark> ownPosition;
+        Nanos ownPositionAt = 0, idleSince = 0;
+        std::deque<std::string> requestQueue;
+        std::size_t queuedBytes = 0;
     };
 
     // Outlet
-    void launch(const std::string& key, const std::string& store, Nanos within) override;
-    void nack(const std::string& key, Nanos comeBackAfter) override;
+    void launch(const std::string& key, const std::string& store, Nanos timeLimit) override;
+    void nack(const std::string& key, Nanos retryAfter) override;
     void writeOff(const std::string& key) override;
-    void cancel(const std::string& key, int launchNo) override;
+    void cancel(const std::string& key, int attemptNumber) override;
     void probe(const std::string& store) override;
     void hangUp(const std::string& store) override;
     void followList(bool) override {}
     void askList() override {}
     void tell(std::optional<int>, const std::string&) override {}
-    void wake(Nanos when, std::int64_t) override { wakeAt_ = when; }
-    void log(const std::string& line) override { outputs_.push_back(ToLog{line}); }
+    void wake(Nanos when, std::int64_t) override { routerWakeAt_ = when; }
+    void log(const std::string& message) override { outputs_.push_back(WriteLog{message}); }
 
-    void begin(Nanos now);
-    void settle();
-    void cancelLaunch(const std::string& key, int launchNo);
-    void placeLaunch(const std::string& key, const std::string& store);
+    void advanceClock(Nanos now);
+    void drainWorkQueues();
+    void abandonAttempt(const std::string& key, int attemptNumber);
+    void executeAttempt(const std::string& key, const std::string& store);
     void probeStore(const std::string& id);
-    void askForLease();
-    void sweepLine(Line& line);
-    void endRest(Session& s, Line& line);
-    void refuseLate();
-    void endLeaving();
-    void news(const std::string& name, const board::Record& record);
-    void storeNews(const std::string& id, const Json& body);
-    void leadNews(const std::string& service, const Json& body);
-    void leadChanged(Service& of, const std::string& before);
-    void leaveLead(const std::string& storeId);
-    void configNews(const Json& body);
-    bool toldBeforeLease(const board::LeaseReply& reply);
-    void reportBroken(board::Invariant& invariant, const std::string& detail);
-    Service& service(const std::string& name);
-    void standing(Store& store);
+    void requestLease();
+    void checkTimeouts(StoreConnection& connection);
+    void abortIdleTransaction(Session& session, StoreConnection& connection);
+    void rejectExpiredWaiters();
+    void closeDrainedSessions();
+    void applyRecord(const std::string& name, const board::Record& record);
+    void applyStoreRecord(const std::string& id, const Json& body);
+    void applyPrimaryRecord(const std::string& name, const Json& body);
+    void onPrimaryChanged(Service& service, const std::string& previous);
+    void abandonFormerPrimary(const std::string& storeId);
+    void applyConfiguration(const Json& body);
+    bool holdsRecordsForLease(const board::LeaseReply& leaseReply);
+    void reportViolation(board::Invariant& invariant, const std::string& detail);
+    Service& findOrAddService(const std::string& name);
+    void updateRouterState(Store& store);
 
-    void proceed(Session& s);
-    void greet(Session& s, std::string_view rest);
-    void query(Session& s, Statement statement);
-    void local(Session& s, const std::string& line, char state);
-    void refuse(Session& s, Error error, std::string_view text, char state);
-    void run(Session& s, Statement statement);
-    int laneOf(const configuration::Route& route, bool writes, bool transaction);
-    void place(Session& s, const std::string& storeId);
-    void placeAt(Session& s, Store& store);
-    void acknowledge(Session& s, Service& of, const Answer& answer);
-    void judgeUnproven();
-    bool isKept(const Unproven& waits) const;
-    void askReplicas();
-    bool restsOnRecord(const Service& of) const;
-    void prepareWitnesses(Service& of);
-    void askReplica(Store& replica);
-    Line* witnessOf(const Store& replica) const;
-    void statusAnswered(Line& line, const Answer& answer);
-    bool defersWrites(const Service& of) const;
-    void defer(Session& s, Service& of);
-    void resumeDeferred(Service& of);
-    Line* lineFor(Session& s, Store& store);
-    void openLine(Store& store, bool probe);
-    void prelude(Session& s, Line& line);
-    void makeValuesRight(const Session& s, Line& line);
-    void beginThere(Session& s, Line& line, const std::string& after);
-    void countWhere(const Store& store);
-    void sendMain(Session& s, Line& line);
-    bool safe(Session& s, Store& store, std::string& after, bool& guarded);
-    void greeted(Line& line, std::string_view text);
-    void answered(Line& line, Part part, const Answer& answer);
-    void beginRefused(Session& s, Line& line, const Answer& answer);
-    void mainAnswered(Session& s, Line& line, const Answer& answer);
-    void commitAnswered(Session& s, Line& line, const Answer& answer);
-    void notRun(Session& s, Line& line, const Answer& answer);
-    void transactionAnswered(Session& s, Line& line, const Answer& answer);
-    void singleDone(Session& s, Line& line, const Answer& answer);
-    void singleFailed(Session& s, Line& line, const Answer& answer);
+    void processQueue(Session& session);
+    void handleGreeting(Session& session, std::string_view rest);
+    void handleStatement(Session& session, Statement statement);
+    void replyLocally(Session& session, const std::string& outcome, char state);
+    void replyWithError(Session& session, Error error, std::string_view text, char state);
+    void routeStatement(Session& session, Statement statement);
+    int transactionClassOf(const configuration::Route& route, bool writes, bool transaction);
+    void assignStore(Session& session, const std::string& storeId);
+    void startOnStore(Session& session, Store& store);
+    void acknowledgeWrite(Session& session, Service& service, const StoreResponse& response);
+    void resolveUnconfirmedWrites();
+    bool isDurable(const UnconfirmedWrite& unconfirmed) const;
+    void queryReplicas();
+    bool replicaListIsCurrent(const Service& service) const;
+    void openReplicaCheckConnections(Service& service);
+    void queryReplicaStatus(Store& replica);
+    StoreConnection* findReplicaCheckConnection(const Store& replica) const;
+    void onStatusResponse(StoreConnection& connection, const StoreResponse& response);
+    bool mustDeferWrites(const Service& service) const;
+    void deferWrite(Session& session, Service& service);
+    void resumeDeferredWrites(Service& service);
+    StoreConnection* acquireConnection(Session& session, Store& store);
+    void openConnection(Store& store, bool probe);
+    void prepareConnection(Session& session, StoreConnection& connection);
+    void syncVariables(const Session& session, StoreConnection& connection);
+    void beginOnStore(Session& session, StoreConnection& connection, const std::string& after);
+    void countDestination(const Store& store);
+    void sendStatement(Session& session, StoreConnection& connection);
+    bool mayRunOn(Session& session, Store& store, std::string& after, bool& guarded);
+    void onGreetingReply(StoreConnection& connection, std::string_view text);
+    void onResponse(StoreConnection& connection, ExchangeStep step, const StoreResponse& response);
+    void onBeginFailed(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onStatementResponse(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onCommitResponse(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onStatementNotRun(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onTransactionResponse(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onSingleSucceeded(Session& session, StoreConnection& connection, const StoreResponse& response);
+    void onSingleFailed(Session& session, StoreConnection& connection, const StoreResponse& response);
     // The store's answer as the statement's final one.
-    void reply(Session& s, const Answer& answer, char state);
+    void replyToClient(Session& session, const StoreResponse& response, char state);
     // The moment up to which an answer's position is known to cover all commits.
-    std::optional<Nanos> covers(const Store& store, const Answer& answer) const;
+    std::optional<Nanos> commitsCoveredUntil(const Store& store, const StoreResponse& response) const;
     // The connection's answers can't be matched to its questions any more.
-    void outOfStep(Line& line);
+    void closeOutOfSync(StoreConnection& connection);
     // What the line was asked for interests nobody any more; it serves others once it has answered.
-    void letGo(Line& line);
+    void releaseConnection(StoreConnection& connection);
     // The deadline of the session's statement, which is at that line, has passed.
-    void timeOver(Session& s, Line& line);
-    static Launched launchedOf(const Op& op) { return {op.key, op.launches - 1, op.launchedAt}; }
+    void onDeadlineExceeded(Session& session, StoreConnection& connection);
+    static RoutedAttempt attemptOf(const PendingStatement& pending) {
+        return {pending.key, pending.attempts - 1, pending.attemptStartedAt};
+    }
     // Tells Front how a launch ended, and whether the statement has had its final answer.
-    void report(const Launched& launched, Store& store, Ending how, std::optional<Nanos> position, bool over);
-    void lags(Store& store, std::optional<Mark> mark);
-    void release(Line& line, const std::string& abortId);
-    void idle(Line& line);
-    void drop(Line& line);
-    void serveWaiting(Store& store);
-    void refuseWaiting(Store& store, Ending how);
-    void endTx(Session& s);
-    void ended(Line& line, bool refused);
-    void lost(Session& s, Line& line, Ending how = Ending::broken);
-    void remove(int client);
-    void unwait(Session& s);
-    void suspect(Store& store, const char* why);
-    bool provable(const Service& service) const;
-    int share(const Service& service) const;
-    void ask(Line& line, std::string_view id, std::string_view text, Part part);
-    void answerLast(Session& s);
+    void reportOutcome(const RoutedAttempt& attempt, Store& store, Ending outcome,
+                       std::optional<Nanos> coveredUntil, bool finished);
+    void reportLagging(Store& store, std::optional<Mark> position);
+    void rollBackAndRelease(StoreConnection& connection, const std::string& statementId);
+    void returnToPool(StoreConnection& connection);
+    void closeConnection(StoreConnection& connection);
+    void serveWaitingClients(Store& store);
+    void failWaitingClients(Store& store, Ending outcome);
+    void endTransaction(Session& session);
+    void onConnectionClosed(StoreConnection& connection, bool refused);
+    void onConnectionLost(Session& session, StoreConnection& connection, Ending outcome = Ending::broken);
+    void removeSession(int client);
+    void removeFromWaiting(Session& session);
+    void reportSuspect(Store& store, const char* why);
+    bool primaryIsConfirmed(const Service& service) const;
+    int connectionShare(const Service& service) const;
+    void sendQuery(StoreConnection& connection, std::string_view id, std::string_view text,
+                   ExchangeStep step);
+    void replyWithLastError(Session& session);
 
     const settings::Settings settings_;
     std::vector<Output> outputs_;
-    Nanos now_, wakeAt_ = 0;
+    Nanos now_, routerWakeAt_ = 0;
     const Nanos startedAt_;
-    board::Gossip gossip_;
-    Front front_;
+    board::Gossip recordReplicator_;
+    Front router_;
     configuration::Configuration configuration_;
-    bool configured_ = false, leaving_ = false, agent_ = false;
-    Nanos leftAt_ = 0, askedAt_ = 0, sweptAt_ = 0, configuredAt_ = 0;
-    std::uint64_t keyNo_ = 0;
-    board::LeaseQuestions leaseQuestions_;
+    bool configured_ = false, shuttingDown_ = false, agentConnected_ = false;
+    Nanos shutdownStartedAt_ = 0, leaseRequestedAt_ = 0, lastSweepAt_ = 0, configuredAt_ = 0;
+    std::uint64_t lastKey_ = 0;
+    board::LeaseQuestions leaseRequests_;
     board::HeldLease lease_;
-    board::ContactWatch contact_;
-    board::Invariant newsBeforeLease_{board::newsBeforeLease};
-    board::Invariant configurationsRise_{"each configuration in force is above the one before"};
+    board::ContactWatch controlContact_;
+    board::Invariant recordsBeforeLease_{board::newsBeforeLease};
+    board::Invariant configurationsIncrease_{"each configuration in force is above the one before"};
     std::map<std::string, std::unique_ptr<Service>> services_;
-    std::map<int, Service*> byGroup_;
+    std::map<int, Service*> servicesByGroup_;
     std::unordered_map<std::string, std::unique_ptr<Store>> stores_;
     std::unordered_map<int, std::unique_ptr<Session>> sessions_;
-    std::unordered_map<int, std::unique_ptr<Line>> lines_;
-    std::unordered_map<std::string, Session*> byKey_;
-    std::unordered_map<std::string, std::string> shapeNames_;
-    std::deque<std::pair<std::string, std::string>> launches_;  // key, store
-    std::deque<std::pair<std::string, int>> cancels_;
-    std::deque<std::string> probes_, probed_;
-    std::set<int> unproven_;  // clients whose write waits to be proven
-    std::deque<int> woken_;   // clients whose next statement may be taken
-    std::vector<int> buried_;
-    std::map<std::string, int> districts_;
-    int lastLine_ = 0, fronts_ = 1;
-    Counts counts_;
+    std::unordered_map<int, std::unique_ptr<StoreConnection>> connections_;
+    std::unordered_map<std::string, Session*> sessionsByKey_;
+    std::unordered_map<std::string, std::string> preparedNames_;
+    std::deque<std::pair<std::string, std::string>> attemptQueue_;  // key, store
+    std::deque<std::pair<std::string, int>> cancelQueue_;
+    std::deque<std::string> probeQueue_, probed_;
+    std::set<int> unconfirmedClients_;  // clients whose write waits to be proven
+    std::deque<int> readyClients_;      // clients whose next statement may be taken
+    std::vector<int> closedConnections_;
+    std::map<std::string, int> districtIndexes_;
+    int lastConnectionId_ = 0, proxyCount_ = 1;
+    Counters counters_;
 };
 
 }  // namespace granitereel::proxy
--- a/src/proxy/lead_evidence.hpp
+++ b/src/proxy/primary_evidence.hpp
@@ -21,24 +21,24 @@
 };
 
 // What becomes of an acknowledged write.
-enum class WriteFate {
-    kept,     // every later lead has it
-    open,     // a promotion may be passing it over
-    unknown,  // another store leads, and nothing shows that it has the write
+enum class WriteDurability {
+    durable,    // every later lead has it
+    undecided,  // a promotion may be passing it over
+    unknown,    // another store leads, and nothing shows that it has the write
 };
 
-class LeadEvidence {
+class PrimaryEvidence {
 public:
     // The record of the lead. `retained`: of the log of the lead before, what the present one had for certain
     // when it was promoted. A new term ends what was granted for the one before.
-    void recorded(std::uint64_t term, std::optional<Mark> retained);
+    void updateRecord(std::uint64_t term, std::optional<Mark> retained);
     // A lease under which the recorded lead is settled runs until then: until then no promotion counts what
     // the replicas have. It is never taken back, as leases aren't either.
-    void settledUntil(Nanos until);
-    bool settled(Nanos now) const { return now < settledUntil_; }
+    void extendSettled(Nanos until);
+    bool isSettled(Nanos now) const { return now < settledUntil_; }
     Nanos settledUntil() const { return settledUntil_; }
     std::uint64_t term() const { return term_; }
-    WriteFate fateOf(const AcknowledgedWrite& write) const;
+    WriteDurability durabilityOf(const AcknowledgedWrite& write) const;
 
 private:
     std::uint64_t term_ = 0;
--- a/src/proxy/program.cpp
+++ b/src/proxy/program.cpp
@@ -18,8 +18,8 @@
 using transport::Stream;
 
 // A client that takes none of its answers is let go once so much waits for it.
-constexpr std::size_t unsentMost = 4 * 1024 * 1024;
-constexpr Nanos countsEvery = millis(10'000);
+constexpr std::size_t maxUnsentBytes = 4 * 1024 * 1024;
+constexpr Nanos countersLogInterval = millis(10'000);
 
 class Program {
 public:
@@ -28,210 +28,220 @@
           settingsPath_(settingsPath),
           loop_(1),
           pooler_(settings, std::random_device{}(), steadyNow()),
-          ticker_(loop_),
+          tickTimer_(loop_),
           signals_(loop_, SIGTERM, SIGINT, SIGHUP),
-          clientsMost_(static_cast<std::size_t>(std::max(16, settings.fileHandles * 3 / 4 - 200))),
+          maxClients_(static_cast<std::size_t>(std::max(16, settings.fileHandles * 3 / 4 - 200))),
           listener_(loop_, transport::endpointOf(settings.frontAddress),
-                    [this](auto stream) { client(std::move(stream)); }),
-          ready_(
-              loop_, transport::endpointOf(settings.readyAddress), 4096,
-              [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
-                     const std::string&) {
-                  const bool place = path.size() == 1 && path[0] == "ready";
-                  ready_.answer(call, !place ? 404 : method != "GET" ? 405 : pooler_.ready() ? 200 : 503, "");
-              }) {}
+                    [this](auto stream) { acceptClient(std::move(stream)); }),
+          readyServer_(loop_, transport::endpointOf(settings.readyAddress), 4096,
+                       [this](std::uint64_t request, const std::string& method,
+                              const std::vector<std::string>& path, const std::string&) {
+                           const bool known = path.size() == 1 && path[0] == "ready";
+                           readyServer_.answer(request,
+                                               !known            ? 404
+                                               : method != "GET" ? 405
+                                               : pooler_.ready() ? 200
+                                                                 : 503,
+                                               "");
+                       }) {}
 
     int run() {
-        listen();
-        dial();
+        waitForSignal();
+        connectToAgent();
         tick();
         loop_.run();
         return 0;
     }
 
 private:
-    void listen() {
-        signals_.async_wait([this](boost::system::error_code ec, int signal) {
+    void waitForSignal() {
+        signals_.async_wait([this](boost::system::error_code ec, int signalNumber) {
             if (ec) return;
-            if (signal == SIGHUP) {
+            if (signalNumber == SIGHUP) {
                 try {
                     settings::read(settingsPath_);
-                } catch (const settings::InvalidSettings& fault) {
-                    spdlog::warn("settings kept as they were: {}", fault.what());
+                } catch (const settings::InvalidSettings& error) {
+                    spdlog::warn("settings kept as they were: {}", error.what());
                 }
             } else {
-                spdlog::info("leaving: {} sessions", pooler_.sessions());
-                endAt_ = steadyNow() + millis(settings_.grace_ms - 300);
-                leftAt_ = steadyNow();
-                pooler_.leave(steadyNow());
-                carryOut();
+                spdlog::info("leaving: {} sessions", pooler_.sessionCount());
+                shutdownDeadline_ = steadyNow() + millis(settings_.grace_ms - 300);
+                shutdownStartedAt_ = steadyNow();
+                pooler_.beginShutdown(steadyNow());
+                performOutputs();
             }
-            listen();
+            waitForSignal();
         });
     }
 
     void tick() {
         const Nanos now = steadyNow();
         pooler_.tick(now);
-        carryOut();
-        if (now - countedAt_ >= countsEvery) {
-            countedAt_ = now;
-            const Counts& c = pooler_.counts();
+        performOutputs();
+        if (now - countersLoggedAt_ >= countersLogInterval) {
+            countersLoggedAt_ = now;
+            const Counters& counters = pooler_.counters();
             spdlog::info(
                 "counts sessions={} open={} lines={} statements={} tx={} answered={} promised={} indoubt={} "
                 "opened={} "
                 "out_of_step={} own={} guarded={} lagging={} lead_near={} lead_far={} replica_near={} "
                 "replica_far={} unproven={} deferred={}",
-                c.sessions, pooler_.sessions(), pooler_.lines(), c.statements, c.transactions, c.answered,
-                c.promised, c.indoubt, c.opened, c.outOfStep, c.own, c.guarded, c.lagging, c.leadNear,
-                c.leadFar, c.replicaNear, c.replicaFar, c.unproven, c.deferred);
+                counters.sessions, pooler_.sessionCount(), pooler_.connectionCount(), counters.statements,
+                counters.transactions, counters.answered, counters.promised, counters.indoubt,
+                counters.opened, counters.outOfStep, counters.own, counters.guarded, counters.lagging,
+                counters.leadNear, counters.leadFar, counters.replicaNear, counters.replicaFar,
+                counters.unproven, counters.deferred);
         }
         // New connections come for as long as the platform has not seen that this front leaves.
-        if (endAt_ && (now >= endAt_ || (now - leftAt_ > millis(2600) && pooler_.over()))) {
+        if (shutdownDeadline_ &&
+            (now >= shutdownDeadline_ || (now - shutdownStartedAt_ > millis(2600) && pooler_.drained()))) {
             spdlog::info("left");
             return loop_.stop();
         }
-        ticker_.expires_after(std::chrono::milliseconds(20));
-        ticker_.async_wait([this](boost::system::error_code ec) {
+        tickTimer_.expires_after(std::chrono::milliseconds(20));
+        tickTimer_.async_wait([this](boost::system::error_code ec) {
             if (!ec) tick();
         });
     }
 
     // To the agent on this machine, over loopback, again and again until it is there.
-    void dial() {
-        auto made = std::make_shared<std::shared_ptr<Stream>>();
-        auto again = [this] {
+    void connectToAgent() {
+        auto connecting = std::make_shared<std::shared_ptr<Stream>>();
+        auto reconnect = [this] {
             agent_.reset();
-            pooler_.agentDown();
-            redial_.expires_after(std::chrono::milliseconds(100));
-            redial_.async_wait([this](boost::system::error_code ec) {
-                if (!ec) dial();
+            pooler_.onAgentDisconnected();
+            reconnectTimer_.expires_after(std::chrono::milliseconds(100));
+            reconnectTimer_.async_wait([this](boost::system::error_code ec) {
+                if (!ec) connectToAgent();
             });
         };
-        const transport::tcp::endpoint where{asio::ip::make_address_v4("127.0.0.1"),
-                                             static_cast<unsigned short>(settings_.firstPort + 1)};
-        *made = Stream::to(loop_, where, 1000, [this, made, again] {
-            agent_ = std::make_shared<transport::Link>(*made);
-            made->reset();
+        const transport::tcp::endpoint agentAddress{asio::ip::make_address_v4("127.0.0.1"),
+                                                    static_cast<unsigned short>(settings_.firstPort + 1)};
+        *connecting = Stream::to(loop_, agentAddress, 1000, [this, connecting, reconnect] {
+            agent_ = std::make_shared<transport::Link>(*connecting);
+            connecting->reset();
             agent_->start(
                 [this](const nlohmann::json& message) {
-                    pooler_.agentSaid(message, steadyNow());
-                    carryOut();
+                    pooler_.onAgentMessage(message, steadyNow());
+                    performOutputs();
                 },
-                again);
-            pooler_.agentUp(steadyNow());
-            carryOut();
+                reconnect);
+            pooler_.onAgentConnected(steadyNow());
+            performOutputs();
         });
-        (*made)->start([](std::string_view) { return std::size_t(0); }, [again](bool) { again(); });
+        (*connecting)
+            ->start([](std::string_view) { return std::size_t(0); }, [reconnect](bool) { reconnect(); });
     }
 
-    void client(const std::shared_ptr<Stream>& stream) {
-        if (clients_.size() >= clientsMost_) {
-            stream->start([](std::string_view all) { return all.size(); }, [](bool) {});
-            stream->send(errorLine(Error::busy, "too many sessions; come back in 500 ms"));
+    void acceptClient(const std::shared_ptr<Stream>& stream) {
+        if (clients_.size() >= maxClients_) {
+            stream->start([](std::string_view received) { return received.size(); }, [](bool) {});
+            stream->send(formatError(Error::busy, "too many sessions; come back in 500 ms"));
             return stream->finish();
         }
-        const int no = ++lastClient_;
-        clients_[no] = stream;
-        pooler_.clientCame(no, steadyNow());
+        const int client = ++lastClientId_;
+        clients_[client] = stream;
+        pooler_.onClientConnected(client, steadyNow());
         stream->start(
-            [this, no](std::string_view all) {
+            [this, client](std::string_view received) {
                 const Nanos now = steadyNow();
-                std::size_t used = 0;
-                for (std::size_t cut; (cut = all.find("\r\n", used)) != all.npos; used = cut + 2)
-                    if (cut - used > longestMessage)
-                        pooler_.clientSaid(no, "", now);
+                std::size_t consumed = 0;
+                for (std::size_t end; (end = received.find("\r\n", consumed)) != received.npos;
+                     consumed = end + 2)
+                    if (end - consumed > maxMessageBytes)
+                        pooler_.onClientLine(client, "", now);
                     else
-                        pooler_.clientSaid(no, all.substr(used, cut - used), now);
-                if (all.size() - used > longestMessage) {
-                    pooler_.clientSaid(no, "", now);  // no such message: it is told so and let go
-                    used = all.size();
+                        pooler_.onClientLine(client, received.substr(consumed, end - consumed), now);
+                if (received.size() - consumed > maxMessageBytes) {
+                    pooler_.onClientLine(client, "", now);  // no such message: it is told so and let go
+                    consumed = received.size();
                 }
-                carryOut();
-                return used;
+                performOutputs();
+                return consumed;
             },
-            [this, no](bool) {
-                clients_.erase(no);
-                pooler_.clientLeft(no, steadyNow());
-                carryOut();
+            [this, client](bool) {
+                clients_.erase(client);
+                pooler_.onClientDisconnected(client, steadyNow());
+                performOutputs();
             });
     }
 
-    void carryOut() {
-        for (auto outputs = pooler_.take(); !outputs.empty(); outputs = pooler_.take())
-            for (Output& output : outputs) std::visit([this](auto& each) { carry(each); }, output);
+    void performOutputs() {
+        for (auto outputs = pooler_.takeOutputs(); !outputs.empty(); outputs = pooler_.takeOutputs())
+            for (Output& output : outputs) std::visit([this](auto& each) { perform(each); }, output);
     }
-    void carry(ToClient& out) {
-        const auto at = clients_.find(out.client);
-        if (at == clients_.end()) return;
-        at->second->send(out.bytes);
-        if (at->second->unsent() > unsentMost) {
-            const auto slow = at->second;
-            clients_.erase(at);
-            slow->close();
-            pooler_.clientLeft(out.client, steadyNow());
+    void perform(SendToClient& out) {
+        const auto found = clients_.find(out.client);
+        if (found == clients_.end()) return;
+        found->second->send(out.bytes);
+        if (found->second->unsent() > maxUnsentBytes) {
+            const auto slowClient = found->second;
+            clients_.erase(found);
+            slowClient->close();
+            pooler_.onClientDisconnected(out.client, steadyNow());
         }
     }
-    void carry(EndClient& out) {
-        const auto at = clients_.find(out.client);
-        if (at == clients_.end()) return;
-        at->second->finish();
-        clients_.erase(at);
+    void perform(CloseClient& out) {
+        const auto found = clients_.find(out.client);
+        if (found == clients_.end()) return;
+        found->second->finish();
+        clients_.erase(found);
     }
-    void carry(HoldClient& out) {
-        const auto at = clients_.find(out.client);
-        if (at != clients_.end()) at->second->hold(out.on);
+    void perform(SetClientPaused& out) {
+        const auto found = clients_.find(out.client);
+        if (found != clients_.end()) found->second->hold(out.paused);
     }
-    void carry(OpenLine& out) {
-        const int no = out.line;
-        auto stream = Stream::to(loop_, transport::endpointOf(out.address), 2000, [this, no] {
-            pooler_.lineOpened(no, steadyNow());
-            carryOut();
+    void perform(OpenStoreConnection& out) {
+        const int connection = out.connection;
+        auto stream = Stream::to(loop_, transport::endpointOf(out.address), 2000, [this, connection] {
+            pooler_.onStoreConnected(connection, steadyNow());
+            performOutputs();
         });
-        lines_[no] = stream;
+        connections_[connection] = stream;
         stream->start(
-            [this, no](std::string_view all) {
+            [this, connection](std::string_view received) {
                 const Nanos now = steadyNow();
-                std::size_t used = 0;
-                for (std::size_t cut; (cut = all.find("\r\n", used)) != all.npos; used = cut + 2)
-                    pooler_.lineSaid(no, all.substr(used, cut - used), now);
-                carryOut();
-                return used;
+                std::size_t consumed = 0;
+                for (std::size_t end; (end = received.find("\r\n", consumed)) != received.npos;
+                     consumed = end + 2)
+                    pooler_.onStoreLine(connection, received.substr(consumed, end - consumed), now);
+                performOutputs();
+                return consumed;
             },
-            [this, no](bool refused) {
-                lines_.erase(no);
-                pooler_.lineEnded(no, refused, steadyNow());
-                carryOut();
+            [this, connection](bool refused) {
+                connections_.erase(connection);
+                pooler_.onStoreDisconnected(connection, refused, steadyNow());
+                performOutputs();
             });
     }
-    void carry(ToLine& out) {
-        const auto at = lines_.find(out.line);
-        if (at != lines_.end()) at->second->send(out.bytes);
+    void perform(SendToStore& out) {
+        const auto found = connections_.find(out.connection);
+        if (found != connections_.end()) found->second->send(out.bytes);
     }
-    void carry(CloseLine& out) {
-        const auto at = lines_.find(out.line);
-        if (at == lines_.end()) return;
-        at->second->close();
-        lines_.erase(at);
+    void perform(CloseStoreConnection& out) {
+        const auto found = connections_.find(out.connection);
+        if (found == connections_.end()) return;
+        found->second->close();
+        connections_.erase(found);
     }
-    void carry(ToAgent& out) {
+    void perform(SendToAgent& out) {
         if (agent_) agent_->send(out.message);
     }
-    void carry(ToLog& out) { spdlog::info("{}", out.text); }
+    void perform(WriteLog& out) { spdlog::info("{}", out.text); }
 
     const settings::Settings settings_;
     const std::string settingsPath_;
     asio::io_context loop_;
     Pooler pooler_;
-    asio::steady_timer ticker_, redial_{loop_};
+    asio::steady_timer tickTimer_, reconnectTimer_{loop_};
     asio::signal_set signals_;
     std::shared_ptr<transport::Link> agent_;
-    std::unordered_map<int, std::shared_ptr<Stream>> clients_, lines_;
-    std::size_t clientsMost_;
-    int lastClient_ = 0;
-    Nanos endAt_ = 0, leftAt_ = 0, countedAt_ = steadyNow();
+    std::unordered_map<int, std::shared_ptr<Stream>> clients_, connections_;
+    std::size_t maxClients_;
+    int lastClientId_ = 0;
+    Nanos shutdownDeadline_ = 0, shutdownStartedAt_ = 0, countersLoggedAt_ = steadyNow();
     transport::Listener listener_;
-    transport::HttpServer ready_;
+    transport::HttpServer readyServer_;
 };
 }  // namespace
 
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -5,52 +5,54 @@
 
 namespace granitereel::proxy {
 
-bool Pooler::provable(const Service& of) const {
-    return of.steady && lease_.valid(now_) && lease_.settles(of.name, of.seq);
+bool Pooler::primaryIsConfirmed(const Service& service) const {
+    return service.steady && lease_.valid(now_) && lease_.settles(service.name, service.seq);
 }
 
 // Whether the statement may run there, behind which position, and whether only with proof of the lead at
 // hand.
-bool Pooler::safe(Session& s, Store& store, std::string& after, bool& guarded) {
-    const Op& op = *s.op;
+bool Pooler::mayRunOn(Session& session, Store& store, std::string& after, bool& guarded) {
+    const PendingStatement& pending = *session.pending;
     guarded = false;
     after.clear();
-    if (op.writes || op.commit || (s.tx && !s.tx->readOnly))
+    if (pending.writes || pending.commit || (session.transaction && !session.transaction->readOnly))
         return true;  // the store itself refuses without the lead
-    const configuration::Route* route = s.tx ? &s.tx->route : configuration_.route(s.database);
+    const configuration::Route* route =
+        session.transaction ? &session.transaction->route : configuration_.route(session.database);
     if (!route) return false;
-    const Service& of = *store.service;
-    const bool leads = of.lead == store.id;
-    if (leads && provable(of)) return true;
+    const Service& service = *store.service;
+    const bool isPrimary = service.primary == store.id;
+    if (isPrimary && primaryIsConfirmed(service)) return true;
     if (route->mode == configuration::Mode::headOffice) {
         guarded = true;
-        return leads;
+        return isPrimary;
     }
-    const Nanos came = s.tx ? s.tx->came : op.came;
-    const Nanos since = came - millis(route->staleness_ms);
-    std::optional<Mark> need = of.horizon.covering(since);
-    if (route->mode == configuration::Mode::own && s.own) {
+    const Nanos receivedAt = session.transaction ? session.transaction->receivedAt : pending.receivedAt;
+    const Nanos oldestAllowed = receivedAt - millis(route->staleness_ms);
+    std::optional<Mark> requiredPosition = service.commitHorizon.positionCovering(oldestAllowed);
+    if (route->mode == configuration::Mode::own && session.ownPosition) {
         // A position of an earlier term may have been cut back with others' commits; this term's own cover
         // it.
-        if (s.own->term < of.term)
-            need = of.horizon.covering(since, of.term);
-        else if (need)
-            need = std::max(*need, *s.own);
+        if (session.ownPosition->term < service.term)
+            requiredPosition = service.commitHorizon.positionCovering(oldestAllowed, service.term);
+        else if (requiredPosition)
+            requiredPosition = std::max(*requiredPosition, *session.ownPosition);
     }
-    if (need) {
-        after = "AFTER " + written(*need) + " ";
+    if (requiredPosition) {
+        after = "AFTER " + written(*requiredPosition) + " ";
         return true;
     }
     guarded = true;
-    return leads;
+    return isPrimary;
 }
 
 // A replica that was tried on trust and lacks what was needed: the module asks again when it may have caught
 // up.
-void Pooler::lags(Store& store, std::optional<Mark> mark) {
-    ++counts_.lagging;
-    const std::optional<Nanos> position = mark ? store.service->horizon.holds(*mark) : std::nullopt;
-    front_.lags(store.id, position.value_or(1));
+void Pooler::reportLagging(Store& store, std::optional<Mark> position) {
+    ++counters_.lagging;
+    const std::optional<Nanos> coveredUntil =
+        position ? store.service->commitHorizon.coveredUntil(*position) : std::nullopt;
+    router_.lags(store.id, coveredUntil.value_or(1));
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/replica_evidence.cpp
+++ b/src/proxy/replica_evidence.cpp
@@ -5,28 +5,28 @@
 
 namespace granitereel::proxy {
 
-void ReplicaEvidence::recorded(std::uint64_t term, std::set<std::string> replicas) {
+void ReplicaEvidence::updateRecord(std::uint64_t term, std::set<std::string> replicas) {
     if (term != term_) received_.clear();
     term_ = term;
     replicas_ = std::move(replicas);
 }
 
-void ReplicaEvidence::told(const std::string& replica, const StoreRow& row) {
-    if (row.primary || row.term != term_ || row.received.term != term_) return;
-    Mark& most = received_[replica];
-    most = std::max(most, row.received);
+void ReplicaEvidence::recordStatus(const std::string& replica, const StoreRow& status) {
+    if (status.primary || status.term != term_ || status.received.term != term_) return;
+    Mark& highest = received_[replica];
+    highest = std::max(highest, status.received);
 }
 
-bool ReplicaEvidence::lacks(const std::string& replica, const Mark& position) const {
+bool ReplicaEvidence::mayLack(const std::string& replica, const Mark& position) const {
     const auto found = received_.find(replica);
     return position.term != term_ || found == received_.end() || found->second < position;
 }
 
-bool ReplicaEvidence::holds(const Mark& position, int syncReplicas) const {
-    const auto needed = static_cast<std::size_t>(std::max(1, syncReplicas));
-    return replicas_.size() >= needed &&
+bool ReplicaEvidence::allHave(const Mark& position, int syncReplicas) const {
+    const auto required = static_cast<std::size_t>(std::max(1, syncReplicas));
+    return replicas_.size() >= required &&
            std::none_of(replicas_.begin(), replicas_.end(),
-                        [&](const std::string& replica) { return lacks(replica, position); });
+                        [&](const std::string& replica) { return mayLack(replica, position); });
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/replica_evidence.hpp
+++ b/src/proxy/replica_evidence.hpp
@@ -19,14 +19,14 @@
 class ReplicaEvidence {
 public:
     // The record of the lead. A new term ends what replicas said in the one before.
-    void recorded(std::uint64_t term, std::set<std::string> replicas);
+    void updateRecord(std::uint64_t term, std::set<std::string> replicas);
     const std::set<std::string>& replicas() const { return replicas_; }
     // What a replica said on a connection that was open while the lead was settled.
-    void told(const std::string& replica, const StoreRow& row);
+    void recordStatus(const std::string& replica, const StoreRow& status);
     // Whether each replica on record, and as many as are synchronous, has received the position in its term.
-    bool holds(const Mark& position, int syncReplicas) const;
+    bool allHave(const Mark& position, int syncReplicas) const;
     // Whether a replica is still to be asked about the position.
-    bool lacks(const std::string& replica, const Mark& position) const;
+    bool mayLack(const std::string& replica, const Mark& position) const;
 
 private:
     std::uint64_t term_ = 0;
--- a/src/proxy/sessions.cpp
+++ b/src/proxy/sessions.cpp
@@ -10,170 +10,177 @@
 using Kind = Statement::Kind;
 }  // namespace
 
-void Pooler::clientCame(int client, Nanos now) {
-    begin(now);
-    remove(client);
+void Pooler::onClientConnected(int client, Nanos now) {
+    advanceClock(now);
+    removeSession(client);
     auto& slot = sessions_[client];
     slot = std::make_unique<Session>();
     slot->client = client;
-    slot->restsSince = now;
-    ++counts_.sessions;
+    slot->idleSince = now;
+    ++counters_.sessions;
 }
 
-void Pooler::clientSaid(int client, std::string_view line, Nanos now) {
-    const auto at = sessions_.find(client);
-    if (at == sessions_.end()) return;
-    begin(now);
-    Session& s = *at->second;
-    s.queue.emplace_back(line);
-    s.queued += line.size() + 64;
-    if (s.queued > queuedMost && !s.held) {
-        s.held = true;
-        outputs_.push_back(HoldClient{client, true});
+void Pooler::onClientLine(int client, std::string_view message, Nanos now) {
+    const auto found = sessions_.find(client);
+    if (found == sessions_.end()) return;
+    advanceClock(now);
+    Session& session = *found->second;
+    session.requestQueue.emplace_back(message);
+    session.queuedBytes += message.size() + 64;
+    if (session.queuedBytes > maxQueuedBytes && !session.readsPaused) {
+        session.readsPaused = true;
+        outputs_.push_back(SetClientPaused{client, true});
     }
-    proceed(s);
-    settle();
+    processQueue(session);
+    drainWorkQueues();
 }
 
-void Pooler::clientLeft(int client, Nanos now) {
+void Pooler::onClientDisconnected(int client, Nanos now) {
     if (!sessions_.count(client)) return;
-    begin(now);
-    remove(client);
-    settle();
+    advanceClock(now);
+    removeSession(client);
+    drainWorkQueues();
 }
 
 // The session is over, whatever it had open.
-void Pooler::remove(int client) {
-    const auto at = sessions_.find(client);
-    if (at == sessions_.end()) return;
-    Session& s = *at->second;
-    s.gone = true;
-    if (s.op) {
-        if (!s.op->key.empty()) {
-            const Launched launched = launchedOf(*s.op);
-            byKey_.erase(launched.key);
-            if (s.op->store)
-                report(launched, *s.op->store, Ending::cancelled, {}, true);
+void Pooler::removeSession(int client) {
+    const auto found = sessions_.find(client);
+    if (found == sessions_.end()) return;
+    Session& session = *found->second;
+    session.removed = true;
+    if (session.pending) {
+        if (!session.pending->key.empty()) {
+            const RoutedAttempt attempt = attemptOf(*session.pending);
+            sessionsByKey_.erase(attempt.key);
+            if (session.pending->store)
+                reportOutcome(attempt, *session.pending->store, Ending::cancelled, {}, true);
             else
-                front_.lapsed(launched.key);
+                router_.lapsed(attempt.key);
         }
-        unwait(s);
-        if (s.op->line) letGo(*s.op->line);
+        removeFromWaiting(session);
+        if (session.pending->connection) releaseConnection(*session.pending->connection);
     }
-    if (s.line && s.line->user == &s) letGo(*s.line);
-    sessions_.erase(at);
+    if (session.connection && session.connection->session == &session) releaseConnection(*session.connection);
+    sessions_.erase(found);
 }
 
-void Pooler::proceed(Session& s) {
-    while (!s.op && !s.gone && !s.queue.empty()) {
-        const std::string line = std::move(s.queue.front());
-        s.queue.pop_front();
-        s.queued -= line.size() + 64;
-        if (s.held && s.queued < queuedMost / 2) {
-            s.held = false;
-            outputs_.push_back(HoldClient{s.client, false});
+void Pooler::processQueue(Session& session) {
+    while (!session.pending && !session.removed && !session.requestQueue.empty()) {
+        const std::string message = std::move(session.requestQueue.front());
+        session.requestQueue.pop_front();
+        session.queuedBytes -= message.size() + 64;
+        if (session.readsPaused && session.queuedBytes < maxQueuedBytes / 2) {
+            session.readsPaused = false;
+            outputs_.push_back(SetClientPaused{session.client, false});
         }
-        std::string_view rest = line;
-        const std::string_view word = takeField(rest);
-        const int client = s.client;
-        if (!s.greeted) {
+        std::string_view rest = message;
+        const std::string_view word = nextField(rest);
+        const int client = session.client;
+        if (!session.greeted) {
             if (word == "GREET") {
-                greet(s, rest);
+                handleGreeting(session, rest);
                 if (!sessions_.count(client)) return;
                 continue;
             }
         } else if (word == "QUERY") {
-            const std::string_view id = takeField(rest);
-            query(s, readStatement(id, rest));
+            const std::string_view id = nextField(rest);
+            handleStatement(session, parseStatement(id, rest));
             continue;
         }
         if (word != "BYE")
-            outputs_.push_back(ToClient{client, errorLine(Error::malformed, "no such message")});
-        outputs_.push_back(EndClient{client});
-        return remove(client);
+            outputs_.push_back(SendToClient{client, formatError(Error::malformed, "no such message")});
+        outputs_.push_back(CloseClient{client});
+        return removeSession(client);
     }
 }
 
-void Pooler::greet(Session& s, std::string_view rest) {
-    const std::string_view database = takeField(rest);
+void Pooler::handleGreeting(Session& session, std::string_view rest) {
+    const std::string_view database = nextField(rest);
     if (configured_ && configuration_.route(std::string(database))) {
-        s.database = database;
-        s.greeted = true;
-        outputs_.push_back(ToClient{s.client, "READY I -\r\n"});
+        session.database = database;
+        session.greeted = true;
+        outputs_.push_back(SendToClient{session.client, "READY I -\r\n"});
         return;
     }
-    outputs_.push_back(ToClient{s.client, configured_ ? errorLine(Error::nosuchdb, "no such database")
-                                                      : errorLine(Error::busy, "not ready yet")});
-    outputs_.push_back(EndClient{s.client});
-    remove(s.client);
+    outputs_.push_back(SendToClient{session.client, configured_
+                                                        ? formatError(Error::nosuchdb, "no such database")
+                                                        : formatError(Error::busy, "not ready yet")});
+    outputs_.push_back(CloseClient{session.client});
+    removeSession(session.client);
 }
 
-void Pooler::query(Session& s, Statement statement) {
+void Pooler::handleStatement(Session& session, Statement statement) {
     static const std::string done = "DONE -\r\n";
-    ++counts_.statements;
-    if (statement.kind == Kind::malformed) return refuse(s, Error::malformed, "not a statement", s.state);
-    if (s.state == 'E') {
+    ++counters_.statements;
+    if (statement.kind == Kind::malformed)
+        return replyWithError(session, Error::malformed, "not a statement", session.state);
+    if (session.state == 'E') {
         if (statement.kind != Kind::abort && statement.kind != Kind::commit)
-            return refuse(s, Error::malformed, "the transaction has failed", 'E');
-        if (s.line) release(*s.line, statement.kind == Kind::abort ? statement.id : "-");
-        endTx(s);
-        if (statement.kind == Kind::abort) return local(s, done, 'I');
-        return refuse(s, Error::aborted, "the transaction had failed and is rolled back", 'I');
+            return replyWithError(session, Error::malformed, "the transaction has failed", 'E');
+        if (session.connection)
+            rollBackAndRelease(*session.connection, statement.kind == Kind::abort ? statement.id : "-");
+        endTransaction(session);
+        if (statement.kind == Kind::abort) return replyLocally(session, done, 'I');
+        return replyWithError(session, Error::aborted, "the transaction had failed and is rolled back", 'I');
     }
     switch (statement.kind) {
         case Kind::set:
-            s.values[statement.name] = statement.value;
-            return local(s, done, s.state);
+            session.variables[statement.name] = statement.value;
+            return replyLocally(session, done, session.state);
         case Kind::parse:
-            s.prepared[statement.name] = {statement.writes, statement.value};
-            return local(s, done, s.state);
+            session.preparedStatements[statement.name] = {statement.writes, statement.value};
+            return replyLocally(session, done, session.state);
         case Kind::close:
-            if (!s.prepared.erase(statement.name)) return refuse(s, Error::unknown, "no such name", s.state);
-            return local(s, done, s.state);
+            if (!session.preparedStatements.erase(statement.name))
+                return replyWithError(session, Error::unknown, "no such name", session.state);
+            return replyLocally(session, done, session.state);
         case Kind::begin:
         case Kind::beginRead: {
-            if (s.state != 'I') return refuse(s, Error::malformed, "in a transaction already", s.state);
-            const configuration::Route* route = configuration_.route(s.database);
-            if (!route) return refuse(s, Error::nosuchdb, "no such database any more", 'I');
-            ++counts_.transactions;
-            s.tx.emplace();
-            s.tx->readOnly = statement.kind == Kind::beginRead;
-            s.tx->beginId = statement.id;
-            s.tx->came = now_;
-            s.tx->route = *route;
+            if (session.state != 'I')
+                return replyWithError(session, Error::malformed, "in a transaction already", session.state);
+            const configuration::Route* route = configuration_.route(session.database);
+            if (!route) return replyWithError(session, Error::nosuchdb, "no such database any more", 'I');
+            ++counters_.transactions;
+            session.transaction.emplace();
+            session.transaction->readOnly = statement.kind == Kind::beginRead;
+            session.transaction->beginId = statement.id;
+            session.transaction->receivedAt = now_;
+            session.transaction->route = *route;
             // It begins at a store with its first statement: until then it holds no connection.
-            return local(s, done, 'T');
+            return replyLocally(session, done, 'T');
         }
         case Kind::abort:
-            if (s.state != 'T') return refuse(s, Error::malformed, "not in a transaction", s.state);
-            if (s.line) release(*s.line, statement.id);
-            endTx(s);
-            return local(s, done, 'I');
+            if (session.state != 'T')
+                return replyWithError(session, Error::malformed, "not in a transaction", session.state);
+            if (session.connection) rollBackAndRelease(*session.connection, statement.id);
+            endTransaction(session);
+            return replyLocally(session, done, 'I');
         case Kind::commit:
-            if (s.state != 'T') return refuse(s, Error::malformed, "not in a transaction", s.state);
-            return run(s, std::move(statement));
+            if (session.state != 'T')
+                return replyWithError(session, Error::malformed, "not in a transaction", session.state);
+            return routeStatement(session, std::move(statement));
         default:
-            return run(s, std::move(statement));
+            return routeStatement(session, std::move(statement));
     }
 }
 
-void Pooler::local(Session& s, const std::string& line, char state) {
-    s.state = state;
-    s.restsSince = now_;
-    std::string bytes = line;
+void Pooler::replyLocally(Session& session, const std::string& outcome, char state) {
+    session.state = state;
+    session.idleSince = now_;
+    std::string bytes = outcome;
     bytes.append("READY ").append(1, state).append(" -\r\n");
-    outputs_.push_back(ToClient{s.client, std::move(bytes)});
+    outputs_.push_back(SendToClient{session.client, std::move(bytes)});
 }
 
-void Pooler::refuse(Session& s, Error error, std::string_view text, char state) {
-    local(s, errorLine(error, text), state);
+void Pooler::replyWithError(Session& session, Error error, std::string_view text, char state) {
+    replyLocally(session, formatError(error, text), state);
 }
 
 // The session's transaction is over: rolled back at the store, or never begun there.
-void Pooler::endTx(Session& s) {
-    s.tx.reset();
-    s.line = nullptr;
-    s.state = 'I';
+void Pooler::endTransaction(Session& session) {
+    session.transaction.reset();
+    session.connection = nullptr;
+    session.state = 'I';
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/statements.cpp
+++ b/src/proxy/statements.cpp
@@ -12,14 +12,14 @@
 using Kind = Statement::Kind;
 }  // namespace
 
-int Pooler::laneOf(const configuration::Route& route, bool writes, bool transaction) {
+int Pooler::transactionClassOf(const configuration::Route& route, bool writes, bool transaction) {
     Lane lane;
-    const bool plain = writes;
-    lane.need = plain                                           ? Need::write
+    const bool needsPrimary = writes;
+    lane.need = needsPrimary                                    ? Need::write
                 : route.mode == configuration::Mode::headOffice ? Need::fresh
                 : route.mode == configuration::Mode::ageBounded ? Need::bounded
                                                                 : Need::session;
-    lane.effect = plain || transaction ? Effect::oneShot : Effect::harmless;
+    lane.effect = needsPrimary || transaction ? Effect::oneShot : Effect::harmless;
     lane.goalTime = millis(route.target_ms);
     lane.cutOff = millis(route.deadline_ms);
     lane.bound = millis(route.staleness_ms);
@@ -30,187 +30,204 @@
                 std::to_string(static_cast<int>(lane.effect)) + "/" + std::to_string(route.target_ms) + "/" +
                 std::to_string(route.deadline_ms) + "/" + std::to_string(route.staleness_ms) + "/" +
                 std::to_string(route.precedence);
-    return front_.lane(lane);
+    return router_.lane(lane);
 }
 
-void Pooler::run(Session& s, Statement statement) {
-    const configuration::Route* route = s.tx ? &s.tx->route : configuration_.route(s.database);
-    if (!route) return refuse(s, Error::nosuchdb, "no such database any more", s.state);
-    Op op;
-    op.commit = statement.kind == Kind::commit;
-    op.writes = statement.kind == Kind::write;
+void Pooler::routeStatement(Session& session, Statement statement) {
+    const configuration::Route* route =
+        session.transaction ? &session.transaction->route : configuration_.route(session.database);
+    if (!route) return replyWithError(session, Error::nosuchdb, "no such database any more", session.state);
+    PendingStatement pending;
+    pending.commit = statement.kind == Kind::commit;
+    pending.writes = statement.kind == Kind::write;
     if (statement.kind == Kind::execute) {
-        const auto prepared = s.prepared.find(statement.name);
-        if (prepared == s.prepared.end()) return refuse(s, Error::unknown, "no such name", s.state);
-        op.writes = prepared->second.writes;
-        auto& name = shapeNames_[(op.writes ? "W" : "R") + prepared->second.shape];
-        if (name.empty()) name = "g" + std::to_string(shapeNames_.size());
-        op.prepared = name;
-        op.text = "EXECUTE " + name + " " + statement.thing;
+        const auto found = session.preparedStatements.find(statement.name);
+        if (found == session.preparedStatements.end())
+            return replyWithError(session, Error::unknown, "no such name", session.state);
+        pending.writes = found->second.writes;
+        auto& name = preparedNames_[(pending.writes ? "W" : "R") + found->second.text];
+        if (name.empty()) name = "g" + std::to_string(preparedNames_.size());
+        pending.preparedName = name;
+        pending.text = "EXECUTE " + name + " " + statement.argument;
     } else {
-        op.text = statement.text;
+        pending.text = statement.text;
     }
-    op.came = now_;
-    op.deadline = now_ + millis(route->deadline_ms);
-    op.statement = std::move(statement);
-    s.op = std::move(op);
-    if (s.tx && s.tx->begun) {
-        s.op->line = s.line;
-        s.op->store = s.line->store;
-        Service& of = *s.line->store->service;
-        if (s.op->commit && s.tx->wrote && defersWrites(of)) return defer(s, of);
-        return prelude(s, *s.line);
+    pending.receivedAt = now_;
+    pending.deadline = now_ + millis(route->deadline_ms);
+    pending.statement = std::move(statement);
+    session.pending = std::move(pending);
+    if (session.transaction && session.transaction->begun) {
+        session.pending->connection = session.connection;
+        session.pending->store = session.connection->store;
+        Service& service = *session.connection->store->service;
+        if (session.pending->commit && session.transaction->writeSent && mustDeferWrites(service))
+            return deferWrite(session, service);
+        return prepareConnection(session, *session.connection);
     }
-    const bool plainTx = s.tx && !s.tx->readOnly;
-    s.op->lane = laneOf(*route, plainTx || s.op->writes, s.tx.has_value());
-    s.op->key = std::to_string(++keyNo_);
-    byKey_[s.op->key] = &s;
-    const Nanos seen = std::max(s.ownAt, now_ - millis(route->staleness_ms));
-    front_.take(s.op->key, s.op->lane, "", millis(route->deadline_ms), service(route->service).group,
-                route->mode == configuration::Mode::own ? std::optional<Nanos>(now_ - seen) : std::nullopt);
+    const bool readWriteTransaction = session.transaction && !session.transaction->readOnly;
+    session.pending->lane = transactionClassOf(*route, readWriteTransaction || session.pending->writes,
+                                               session.transaction.has_value());
+    session.pending->key = std::to_string(++lastKey_);
+    sessionsByKey_[session.pending->key] = &session;
+    const Nanos mustCoverUntil = std::max(session.ownPositionAt, now_ - millis(route->staleness_ms));
+    router_.take(
+        session.pending->key, session.pending->lane, "", millis(route->deadline_ms),
+        findOrAddService(route->service).group,
+        route->mode == configuration::Mode::own ? std::optional<Nanos>(now_ - mustCoverUntil) : std::nullopt);
 }
 
 void Pooler::launch(const std::string& key, const std::string& store, Nanos) {
-    launches_.emplace_back(key, store);
+    attemptQueue_.emplace_back(key, store);
 }
 
-void Pooler::cancel(const std::string& key, int launchNo) {
-    cancels_.emplace_back(key, launchNo);
+void Pooler::cancel(const std::string& key, int attemptNumber) {
+    cancelQueue_.emplace_back(key, attemptNumber);
 }
 
 void Pooler::probe(const std::string& store) {
-    probes_.push_back(store);
+    probeQueue_.push_back(store);
 }
 
 void Pooler::hangUp(const std::string& id) {
-    const auto at = stores_.find(id);
-    if (at != stores_.end() && !at->second->idle.empty()) drop(*lines_.at(*at->second->idle.begin()));
+    const auto found = stores_.find(id);
+    if (found != stores_.end() && !found->second->idleConnections.empty())
+        closeConnection(*connections_.at(*found->second->idleConnections.begin()));
 }
 
 void Pooler::nack(const std::string& key, Nanos) {
-    const auto at = byKey_.find(key);
-    if (at == byKey_.end()) return;
-    Session& s = *at->second;
-    if (!s.op->lastError || entryOf(*s.op->lastError).elsewhere) {
-        s.op->lastError = Error::busy;
-        s.op->lastText = "nothing ran; come back in " + std::to_string(comeBack_ms) + " ms";
+    const auto found = sessionsByKey_.find(key);
+    if (found == sessionsByKey_.end()) return;
+    Session& session = *found->second;
+    if (!session.pending->lastError || propertiesOf(*session.pending->lastError).retryElsewhere) {
+        session.pending->lastError = Error::busy;
+        session.pending->lastErrorText =
+            "nothing ran; come back in " + std::to_string(retryAdvice_ms) + " ms";
     }
-    answerLast(s);
+    replyWithLastError(session);
 }
 
 void Pooler::writeOff(const std::string& key) {
-    const auto at = byKey_.find(key);
-    if (at == byKey_.end()) return;
-    Session& s = *at->second;
-    if (!s.op->lastError) {
+    const auto found = sessionsByKey_.find(key);
+    if (found == sessionsByKey_.end()) return;
+    Session& session = *found->second;
+    if (!session.pending->lastError) {
         // A transaction that was not asked to commit is rolled back with its connection.
-        s.op->lastError = s.tx ? Error::aborted : s.op->writes ? Error::indoubt : Error::busy;
-        s.op->lastText = s.tx ? "rolled back" : s.op->writes ? "the outcome is not known" : "no answer";
+        session.pending->lastError = session.transaction       ? Error::aborted
+                                     : session.pending->writes ? Error::indoubt
+                                                               : Error::busy;
+        session.pending->lastErrorText = session.transaction       ? "rolled back"
+                                         : session.pending->writes ? "the outcome is not known"
+                                                                   : "no answer";
     }
-    answerLast(s);
+    replyWithLastError(session);
 }
 
-void Pooler::place(Session& s, const std::string& storeId) {
-    Op& op = *s.op;
+void Pooler::assignStore(Session& session, const std::string& storeId) {
+    PendingStatement& pending = *session.pending;
     Store& store = *stores_.at(storeId);
-    op.store = &store;
-    op.line = nullptr;
-    op.sent = op.preluding = op.guarded = false;
-    op.lastError.reset();
-    op.deferred = false;
-    ++op.launches;
-    op.launchedAt = now_;
-    if (op.writes && !s.tx && defersWrites(*store.service)) return defer(s, *store.service);
-    placeAt(s, store);
+    pending.store = &store;
+    pending.connection = nullptr;
+    pending.sent = pending.preparing = pending.guarded = false;
+    pending.lastError.reset();
+    pending.deferred = false;
+    ++pending.attempts;
+    pending.attemptStartedAt = now_;
+    if (pending.writes && !session.transaction && mustDeferWrites(*store.service))
+        return deferWrite(session, *store.service);
+    startOnStore(session, store);
 }
 
-void Pooler::placeAt(Session& s, Store& store) {
-    if (Line* line = lineFor(s, store))
-        prelude(s, *line);
+void Pooler::startOnStore(Session& session, Store& store) {
+    if (StoreConnection* connection = acquireConnection(session, store))
+        prepareConnection(session, *connection);
     else
-        store.waiting.push_back(s.client);
+        store.waitingClients.push_back(session.client);
 }
 
-void Pooler::report(const Launched& launched, Store& store, Ending how, std::optional<Nanos> position,
-                    bool over) {
-    if (launched.key.empty()) return;
-    front_.ended(launched.key, launched.number, store.id, how, now_ - launched.at, Role::unknown, position,
-                 over);
+void Pooler::reportOutcome(const RoutedAttempt& attempt, Store& store, Ending outcome,
+                           std::optional<Nanos> coveredUntil, bool finished) {
+    if (attempt.key.empty()) return;
+    router_.ended(attempt.key, attempt.number, store.id, outcome, now_ - attempt.startedAt, Role::unknown,
+                  coveredUntil, finished);
 }
 
-void Pooler::unwait(Session& s) {
-    if (s.op && s.op->store && !s.op->line) std::erase(s.op->store->waiting, s.client);
+void Pooler::removeFromWaiting(Session& session) {
+    if (session.pending && session.pending->store && !session.pending->connection)
+        std::erase(session.pending->store->waitingClients, session.client);
 }
 
 // The statement's final answer is its last error.
-void Pooler::answerLast(Session& s) {
-    const Error error = *s.op->lastError;
-    const std::string text = s.op->lastText;
-    ++(error == Error::indoubt ? counts_.indoubt : counts_.promised);
-    if (!s.op->key.empty()) byKey_.erase(s.op->key);
-    unwait(s);
-    const bool commit = s.op->commit;
-    s.op.reset();
+void Pooler::replyWithLastError(Session& session) {
+    const Error error = *session.pending->lastError;
+    const std::string text = session.pending->lastErrorText;
+    ++(error == Error::indoubt ? counters_.indoubt : counters_.promised);
+    if (!session.pending->key.empty()) sessionsByKey_.erase(session.pending->key);
+    removeFromWaiting(session);
+    const bool commit = session.pending->commit;
+    session.pending.reset();
     // The store still holds it.
-    if (s.tx && s.line) letGo(*std::exchange(s.line, nullptr));
-    if (s.tx) s.tx->begun = false;
-    if (commit) endTx(s);
-    refuse(s, error, text, s.tx ? 'E' : 'I');
-    woken_.push_back(s.client);
+    if (session.transaction && session.connection)
+        releaseConnection(*std::exchange(session.connection, nullptr));
+    if (session.transaction) session.transaction->begun = false;
+    if (commit) endTransaction(session);
+    replyWithError(session, error, text, session.transaction ? 'E' : 'I');
+    readyClients_.push_back(session.client);
 }
 
 // Nothing is kept of a read, nor of what was not sent; nor of a transaction that was not asked to commit.
-void Pooler::timeOver(Session& s, Line& line) {
-    Op& op = *s.op;
-    if (s.tx || (op.writes && op.sent)) {
-        drop(line);
-        return lost(s, line, Ending::timedOut);
+void Pooler::onDeadlineExceeded(Session& session, StoreConnection& connection) {
+    PendingStatement& pending = *session.pending;
+    if (session.transaction || (pending.writes && pending.sent)) {
+        closeConnection(connection);
+        return onConnectionLost(session, connection, Ending::timedOut);
     }
-    const Launched launched = launchedOf(op);
-    op.lastError = Error::busy;
-    op.lastText = "no answer in time; come back in " + std::to_string(comeBack_ms) + " ms";
-    answerLast(s);
-    letGo(line);
-    report(launched, *line.store, Ending::timedOut, {}, true);
+    const RoutedAttempt attempt = attemptOf(pending);
+    pending.lastError = Error::busy;
+    pending.lastErrorText = "no answer in time; come back in " + std::to_string(retryAdvice_ms) + " ms";
+    replyWithLastError(session);
+    releaseConnection(connection);
+    reportOutcome(attempt, *connection.store, Ending::timedOut, {}, true);
 }
 
 // The connection under a session is gone, and with it whatever the store held for it that was not committed.
-void Pooler::lost(Session& s, Line& line, Ending how) {
-    line.user = nullptr;
-    Store& store = *line.store;
-    if (s.line == &line) s.line = nullptr;
-    if (!s.op || s.op->line != &line) {
-        if (s.tx && s.tx->begun) {
-            s.tx->begun = false;
-            s.state = 'E';
+void Pooler::onConnectionLost(Session& session, StoreConnection& connection, Ending outcome) {
+    connection.session = nullptr;
+    Store& store = *connection.store;
+    if (session.connection == &connection) session.connection = nullptr;
+    if (!session.pending || session.pending->connection != &connection) {
+        if (session.transaction && session.transaction->begun) {
+            session.transaction->begun = false;
+            session.state = 'E';
         }
         return;
     }
-    Op& op = *s.op;
-    op.line = nullptr;
-    const Launched launched = launchedOf(op);
-    if (op.commit && op.sent) {
-        const bool wrote = s.tx->wrote;
-        endTx(s);
-        byKey_.erase(launched.key);
-        s.op.reset();
-        if (wrote)
-            ++counts_.indoubt, refuse(s, Error::indoubt, "the outcome of the commit is not known", 'I');
+    PendingStatement& pending = *session.pending;
+    pending.connection = nullptr;
+    const RoutedAttempt attempt = attemptOf(pending);
+    if (pending.commit && pending.sent) {
+        const bool writeSent = session.transaction->writeSent;
+        endTransaction(session);
+        sessionsByKey_.erase(attempt.key);
+        session.pending.reset();
+        if (writeSent)
+            ++counters_.indoubt,
+                replyWithError(session, Error::indoubt, "the outcome of the commit is not known", 'I');
         else
-            ++counts_.promised, refuse(s, Error::aborted, "the connection to the store is gone", 'I');
-        woken_.push_back(s.client);
-        report(launched, store, how, {}, true);
+            ++counters_.promised,
+                replyWithError(session, Error::aborted, "the connection to the store is gone", 'I');
+        readyClients_.push_back(session.client);
+        reportOutcome(attempt, store, outcome, {}, true);
         return;
     }
-    if (s.tx && s.tx->begun) {
-        op.lastError = Error::aborted;
-        op.lastText = "the connection to the store is gone, the transaction is rolled back";
-        answerLast(s);
-        report(launched, store, how, {}, true);
+    if (session.transaction && session.transaction->begun) {
+        pending.lastError = Error::aborted;
+        pending.lastErrorText = "the connection to the store is gone, the transaction is rolled back";
+        replyWithLastError(session);
+        reportOutcome(attempt, store, outcome, {}, true);
         return;
     }
-    const bool sent = std::exchange(op.sent, false);
-    report(launched, store, sent ? how : Ending::unreachable, {}, false);
+    const bool sent = std::exchange(pending.sent, false);
+    reportOutcome(attempt, store, sent ? outcome : Ending::unreachable, {}, false);
 }
 
 }  // namespace granitereel::proxy
--- /dev/null
+++ b/src/proxy/store_connections.cpp
@@ -0,0 +1,220 @@
+// Connections to stores: opened, lent to a statement or a transaction, cleaned, closed.
+#include <utility>
+
+#include "proxy/pooler.hpp"
+
+namespace granitereel::proxy {
+
+// The idle connection that needs least to be made right; where all need much, and there may be more, a new
+// one.
+Pooler::StoreConnection* Pooler::acquireConnection(Session& session, Store& store) {
+    StoreConnection* best = nullptr;
+    int lowestCost = 0;
+    for (const int connectionId : store.idleConnections) {
+        StoreConnection& connection = *connections_.at(connectionId);
+        int cost = 0;
+        bool reset = false;
+        for (const auto& [name, value] : connection.variables) reset |= !session.variables.count(name);
+        for (const auto& [name, value] : session.variables) {
+            const auto found = connection.variables.find(name);
+            cost += reset || found == connection.variables.end() || found->second != value;
+        }
+        cost += reset;
+        if (!session.pending->preparedName.empty() &&
+            (reset || !connection.preparedNames.count(session.pending->preparedName)))
+            ++cost;
+        if (!best || cost < lowestCost) best = &connection, lowestCost = cost;
+        if (lowestCost == 0) break;
+    }
+    const int waiting = static_cast<int>(store.waitingClients.size());
+    if (!best && store.connectionCount < connectionShare(*store.service)) {
+        int connecting = 0;
+        for (auto& [connectionId, connection] : connections_)
+            connecting += connection->store == &store && !connection->open && !connection->closed;
+        if (connecting <= waiting) openConnection(store, false);
+    }
+    return best;
+}
+
+void Pooler::openConnection(Store& store, bool probe) {
+    const int connectionId = ++lastConnectionId_;
+    auto connection = std::make_unique<StoreConnection>();
+    connection->id = connectionId;
+    connection->store = &store;
+    connection->address = store.address;
+    connection->isProbe = probe;
+    connection->sentAt = now_;
+    ++store.connectionCount;
+    ++counters_.opened;
+    connections_[connectionId] = std::move(connection);
+    outputs_.push_back(OpenStoreConnection{connectionId, store.address});
+}
+
+void Pooler::onStoreConnected(int connectionId, Nanos now) {
+    const auto found = connections_.find(connectionId);
+    if (found == connections_.end()) return;
+    advanceClock(now);
+    StoreConnection& connection = *found->second;
+    connection.sentAt = now;
+    connection.provesPrimary = connection.store->id == connection.store->service->primary &&
+                               primaryIsConfirmed(*connection.store->service);
+    outputs_.push_back(SendToStore{connectionId, "GREET " + connection.store->service->name + " " +
+                                                     settings_.station + " " + connection.store->id +
+                                                     "\r\n"});
+}
+
+void Pooler::onStoreLine(int connectionId, std::string_view text, Nanos now) {
+    const auto found = connections_.find(connectionId);
+    if (found == connections_.end() || found->second->closed) return;
+    advanceClock(now);
+    StoreConnection& connection = *found->second;
+    connection.store->lastReceivedAt = connection.lastReceivedAt = now;
+    if (!connection.open) {
+        onGreetingReply(connection, text);
+    } else if (connection.expectedSteps.empty()) {
+        closeOutOfSync(connection);  // nothing was asked
+    } else {
+        switch (connection.responseReader.addLine(text)) {
+            case StoreResponseReader::Progress::partial:
+                break;
+            case StoreResponseReader::Progress::malformed:
+                closeOutOfSync(connection);
+                break;
+            case StoreResponseReader::Progress::complete: {
+                const ExchangeStep step = connection.expectedSteps.front();
+                connection.expectedSteps.pop_front();
+                onResponse(connection, step, connection.responseReader.takeResponse());
+            }
+        }
+    }
+    drainWorkQueues();
+}
+
+void Pooler::onStoreDisconnected(int connectionId, bool refused, Nanos now) {
+    const auto found = connections_.find(connectionId);
+    if (found == connections_.end() || found->second->closed) return;
+    advanceClock(now);
+    onConnectionClosed(*found->second, refused);
+    drainWorkQueues();
+}
+
+void Pooler::onGreetingReply(StoreConnection& connection, std::string_view text) {
+    Store& store = *connection.store;
+    std::string_view rest = text;
+    const std::string_view word = nextField(rest);
+    StoreResponse greeting;
+    if (word == "READY" && parseReady(rest, greeting) && greeting.state == 'I') {
+        connection.open = true;
+        connection.lastUsedAt = now_;
+        connection.openedWhileSettled = store.service->primaryEvidence.isSettled(now_);
+        if (greeting.position && connection.provesPrimary)
+            store.service->commitHorizon.observe(*greeting.position, connection.sentAt);
+        if (std::exchange(connection.isProbe, false)) {
+            store.probing = false;
+            router_.probed(store.id, Ending::delivered);
+        }
+        return returnToPool(connection);
+    }
+    if (word != "ERROR") {
+        outputs_.push_back(CloseStoreConnection{connection.id});
+        return onConnectionClosed(connection, false);
+    }
+    const Ending outcome = parseError(nextField(rest)) == Error::full ? Ending::full : Ending::unreachable;
+    closeConnection(connection);
+    if (connection.isProbe) {
+        store.probing = false;
+        router_.probed(store.id, outcome);
+    }
+    failWaitingClients(store, outcome);
+}
+
+void Pooler::closeOutOfSync(StoreConnection& connection) {
+    ++counters_.outOfStep;
+    Session* session = connection.session;
+    closeConnection(connection);
+    if (session) onConnectionLost(*session, connection);
+}
+
+void Pooler::releaseConnection(StoreConnection& connection) {
+    connection.session = nullptr;
+    if (!connection.expectedSteps.empty())
+        connection.abandonedAt = now_;
+    else if (connection.inTransaction)
+        rollBackAndRelease(connection, "-");
+    else
+        returnToPool(connection);
+}
+
+// Rolls back what the store holds for nobody any more; the line serves others once that is done.
+void Pooler::rollBackAndRelease(StoreConnection& connection, const std::string& statementId) {
+    connection.session = nullptr;
+    connection.abandonedAt = now_;
+    sendQuery(connection, statementId, "ABORT", ExchangeStep::rollback);
+}
+
+void Pooler::returnToPool(StoreConnection& connection) {
+    connection.session = nullptr;
+    if (connection.closed) return;
+    Store& store = *connection.store;
+    if (store.removed || connection.address != store.address ||
+        (store.drainingSince && store.service->primary != store.id))
+        return closeConnection(connection);
+    store.idleConnections.insert(connection.id);
+    serveWaitingClients(store);
+}
+
+void Pooler::closeConnection(StoreConnection& connection) {
+    if (std::exchange(connection.closed, true)) return;
+    connection.store->idleConnections.erase(connection.id);
+    --connection.store->connectionCount;
+    outputs_.push_back(CloseStoreConnection{connection.id});
+    closedConnections_.push_back(connection.id);
+}
+
+void Pooler::serveWaitingClients(Store& store) {
+    while (!store.waitingClients.empty() && !store.idleConnections.empty()) {
+        const int client = store.waitingClients.front();
+        store.waitingClients.pop_front();
+        const auto found = sessions_.find(client);
+        if (found == sessions_.end() || !found->second->pending || found->second->pending->store != &store ||
+            found->second->pending->connection)
+            continue;
+        // Not from here: an answer may be in the middle of being taken apart.
+        StoreConnection* connection = acquireConnection(*found->second, store);
+        prepareConnection(*found->second, *connection);
+    }
+}
+
+// No connection could be had for those who wait for one there.
+void Pooler::failWaitingClients(Store& store, Ending outcome) {
+    for (const int client : std::exchange(store.waitingClients, {})) {
+        const auto found = sessions_.find(client);
+        if (found == sessions_.end() || !found->second->pending || found->second->pending->store != &store)
+            continue;
+        PendingStatement& pending = *found->second->pending;
+        reportOutcome(attemptOf(pending), store, outcome, {}, false);
+    }
+}
+
+void Pooler::onConnectionClosed(StoreConnection& connection, bool refused) {
+    Store& store = *connection.store;
+    const int connectionId = connection.id;
+    const bool wasOpen = connection.open;
+    Session* session = connection.session;
+    const bool unused = wasOpen && !session && connection.expectedSteps.empty();
+    if (std::exchange(connection.closed, true)) return;
+    store.idleConnections.erase(connectionId);
+    --store.connectionCount;
+    closedConnections_.push_back(connectionId);
+    if (!unused || refused) reportSuspect(store, refused ? "refused" : "broken");
+    if (std::exchange(connection.isProbe, false)) {
+        store.probing = false;
+        router_.probed(store.id, refused ? Ending::unreachable : Ending::timedOut);
+    }
+    if (!wasOpen) {
+        failWaitingClients(store, Ending::unreachable);
+    }
+    if (session) onConnectionLost(*session, connection);
+}
+
+}  // namespace granitereel::proxy
--- a/src/proxy/answer.hpp
+++ b/src/proxy/store_response.hpp
@@ -12,30 +12,30 @@
 
 namespace granitereel::proxy {
 
-struct Answer {
+struct StoreResponse {
     std::string rows;  // as they came, each with its CR LF
     std::string done;  // "DONE stamp\r\n"; empty where there is an error
     std::optional<Error> error;
     std::string errorText;
     char state = 'I';  // I, T or E
-    std::optional<Mark> mark;
+    std::optional<Mark> position;
 };
 
-class AnswerReader {
+class StoreResponseReader {
 public:
-    enum class Progress { partial, whole, malformed };
+    enum class Progress { partial, complete, malformed };
     // A line without its CR LF. After `whole` the answer is to be taken; after `malformed` nothing more of
     // the connection is to be believed.
-    Progress take(std::string_view line);
+    Progress addLine(std::string_view line);
     // The whole answer; the reader begins anew.
-    Answer finish();
+    StoreResponse takeResponse();
 
 private:
-    bool ended() const { return !answer_.done.empty() || answer_.error.has_value(); }
-    Answer answer_;
+    bool hasOutcome() const { return !response_.done.empty() || response_.error.has_value(); }
+    StoreResponse response_;
 };
 
 // The state and position of a READY line, `rest` being what follows the word; false: not of that form.
-bool readReady(std::string_view rest, Answer& into);
+bool parseReady(std::string_view rest, StoreResponse& response);
 
 }  // namespace granitereel::proxy
--- a/src/proxy/wire.cpp
+++ b/src/proxy/wire.cpp
@@ -5,7 +5,7 @@
 namespace granitereel::proxy {
 
 namespace {
-constexpr std::array<ErrorEntry, 13> table{{
+constexpr std::array<ErrorProperties, 13> errorTable{{
     {Error::busy, "BUSY", true, true},
     {Error::aborted, "ABORTED", false, false},
     {Error::lagging, "LAGGING", true, true},
@@ -22,66 +22,67 @@
 }};
 }  // namespace
 
-const ErrorEntry& entryOf(Error error) {
-    return table[static_cast<std::size_t>(error)];
+const ErrorProperties& propertiesOf(Error error) {
+    return errorTable[static_cast<std::size_t>(error)];
 }
 
-Error errorOf(std::string_view word) {
-    for (const ErrorEntry& entry : table)
-        if (word == entry.word) return entry.error;
+Error parseError(std::string_view word) {
+    for (const ErrorProperties& properties : errorTable)
+        if (word == properties.word) return properties.error;
     return Error::other;
 }
 
-std::string errorLine(Error error, std::string_view text) {
-    std::string line = "ERROR ";
-    line.append(entryOf(error).word).append(" ").append(text).append("\r\n");
-    return line;
+std::string formatError(Error error, std::string_view text) {
+    std::string message = "ERROR ";
+    message.append(propertiesOf(error).word).append(" ").append(text).append("\r\n");
+    return message;
 }
 
-std::string_view takeField(std::string_view& rest) {
-    const std::size_t cut = rest.find(' ');
-    const std::string_view field = rest.substr(0, cut);
-    rest = cut == rest.npos ? std::string_view() : rest.substr(cut + 1);
+std::string_view nextField(std::string_view& rest) {
+    const std::size_t end = rest.find(' ');
+    const std::string_view field = rest.substr(0, end);
+    rest = end == rest.npos ? std::string_view() : rest.substr(end + 1);
     return field;
 }
 
-Statement readStatement(std::string_view id, std::string_view text) {
+Statement parseStatement(std::string_view id, std::string_view text) {
     using Kind = Statement::Kind;
-    Statement s;
-    s.id = id;
-    s.text = text;
+    Statement statement;
+    statement.id = id;
+    statement.text = text;
     std::string_view rest = text;
-    const std::string_view word = takeField(rest);
-    if (id.empty() || id == "-") return s;
+    const std::string_view word = nextField(rest);
+    if (id.empty() || id == "-") return statement;
     if (word == "BEGIN") {
-        if (rest.empty()) s.kind = Kind::begin;
-        if (rest == "READ") s.kind = Kind::beginRead;
+        if (rest.empty()) statement.kind = Kind::begin;
+        if (rest == "READ") statement.kind = Kind::beginRead;
     } else if (word == "COMMIT" || word == "ABORT") {
-        if (rest.empty()) s.kind = word == "COMMIT" ? Kind::commit : Kind::abort;
+        if (rest.empty()) statement.kind = word == "COMMIT" ? Kind::commit : Kind::abort;
     } else if (word == "READ") {
-        if (!rest.empty()) s.kind = Kind::read;
+        if (!rest.empty()) statement.kind = Kind::read;
     } else if (word == "WRITE") {
-        s.thing = takeField(rest);
-        if (!s.thing.empty()) s.kind = Kind::write;
+        statement.argument = nextField(rest);
+        if (!statement.argument.empty()) statement.kind = Kind::write;
     } else if (word == "SET") {
-        s.name = takeField(rest);
-        s.value = rest;
-        if (!s.name.empty()) s.kind = Kind::set;
+        statement.name = nextField(rest);
+        statement.value = rest;
+        if (!statement.name.empty()) statement.kind = Kind::set;
     } else if (word == "PARSE") {
-        s.name = takeField(rest);
-        const std::string_view does = takeField(rest);
-        s.writes = does == "WRITE";
-        s.value = rest;
-        if (!s.name.empty() && (s.writes || does == "READ") && !rest.empty()) s.kind = Kind::parse;
+        statement.name = nextField(rest);
+        const std::string_view effect = nextField(rest);
+        statement.writes = effect == "WRITE";
+        statement.value = rest;
+        if (!statement.name.empty() && (statement.writes || effect == "READ") && !rest.empty())
+            statement.kind = Kind::parse;
     } else if (word == "EXECUTE") {
-        s.name = takeField(rest);
-        s.thing = rest;
-        if (!s.name.empty() && !rest.empty()) s.kind = Kind::execute;
+        statement.name = nextField(rest);
+        statement.argument = rest;
+        if (!statement.name.empty() && !rest.empty()) statement.kind = Kind::execute;
     } else if (word == "CLOSE") {
-        s.name = takeField(rest);
-        if (!s.name.empty() && rest.empty()) s.kind = Kind::close;
+        statement.name = nextField(rest);
+        if (!statement.name.empty() && rest.empty()) statement.kind = Kind::close;
     }
-    return s;
+    return statement;
 }
 
 }  // namespace granitereel::proxy
--- a/src/proxy/wire.hpp
+++ b/src/proxy/wire.hpp
@@ -9,7 +9,7 @@
 
 namespace granitereel::proxy {
 
-constexpr std::size_t longestMessage = 1024 * 1024;
+constexpr std::size_t maxMessageBytes = 1024 * 1024;
 
 // How a statement ended other than by success, as both clients and stores are told. One closed list;
 // errors.cpp has what follows from each.
@@ -28,19 +28,19 @@
     nosuchdb,
     other,
 };
-struct ErrorEntry {
+struct ErrorProperties {
     Error error;
     const char* word;
-    bool notRun;     // a store that says so has not run the statement
-    bool elsewhere;  // another store may do better
+    bool notRun;          // a store that says so has not run the statement
+    bool retryElsewhere;  // another store may do better
 };
-const ErrorEntry& entryOf(Error error);
-Error errorOf(std::string_view word);
+const ErrorProperties& propertiesOf(Error error);
+Error parseError(std::string_view word);
 // "ERROR WORD text\r\n"
-std::string errorLine(Error error, std::string_view text);
+std::string formatError(Error error, std::string_view text);
 
 // The next field, taken off `rest`; empty at the end.
-std::string_view takeField(std::string_view& rest);
+std::string_view nextField(std::string_view& rest);
 
 // A client's statement.
 struct Statement {
@@ -48,10 +48,10 @@
     Kind kind = Kind::malformed;
     std::string id, text;  // as they came
     std::string name, value,
-        thing;            // SET name value; PARSE name shape(value); EXECUTE name, and what follows (thing)
+        argument;         // SET name value; PARSE name shape(value); EXECUTE name, and what follows (thing)
     bool writes = false;  // PARSE: what the shape does
 };
 // The text of a QUERY.
-Statement readStatement(std::string_view id, std::string_view text);
+Statement parseStatement(std::string_view id, std::string_view text);
 
 }  // namespace granitereel::proxy
--- /dev/null
+++ b/src/proxy/write_acknowledgement.cpp
@@ -0,0 +1,86 @@
+// Successes of writes: told at once where every later lead has the write, else kept until that is known; and
+// writes that wait while the lead is known to be changing, as their successes could not be told.
+#include <algorithm>
+#include <utility>
+
+#include "proxy/pooler.hpp"
+
+namespace granitereel::proxy {
+
+// The store has answered a write or the COMMIT of one with success.
+void Pooler::acknowledgeWrite(Session& session, Service& service, const StoreResponse& response) {
+    UnconfirmedWrite unconfirmed{
+        &service,
+        response,
+        {response.position, response.position ? response.position->term : service.primaryEvidence.term(),
+         now_}};
+    if (service.primaryEvidence.durabilityOf(unconfirmed.write) == WriteDurability::durable)
+        return replyToClient(session, response, 'I');
+    ++counters_.unproven;
+    PendingStatement& pending = *session.pending;
+    if (!pending.key.empty()) sessionsByKey_.erase(pending.key);
+    pending.key.clear();
+    pending.connection = nullptr;
+    pending.store = nullptr;
+    pending.unconfirmed = std::move(unconfirmed);
+    unconfirmedClients_.insert(session.client);
+}
+
+// What has become known of a lead, or the time that has passed, may decide those that wait.
+void Pooler::resolveUnconfirmedWrites() {
+    for (const int client : std::set<int>(unconfirmedClients_)) {
+        const auto found = sessions_.find(client);
+        if (found == sessions_.end() || !found->second->pending || !found->second->pending->unconfirmed) {
+            unconfirmedClients_.erase(client);
+            continue;
+        }
+        Session& session = *found->second;
+        const UnconfirmedWrite& unconfirmed = *session.pending->unconfirmed;
+        const bool durable = isDurable(unconfirmed);
+        const bool undecided = unconfirmed.service->primaryEvidence.durabilityOf(unconfirmed.write) ==
+                               WriteDurability::undecided;
+        if (!durable && undecided && now_ < session.pending->deadline) continue;
+        unconfirmedClients_.erase(client);
+        if (durable) {
+            const StoreResponse response = unconfirmed.response;
+            replyToClient(session, response, 'I');
+        } else {
+            session.pending->lastError = Error::indoubt;
+            session.pending->lastErrorText = "the lead has changed, and may lack it";
+            replyWithLastError(session);
+        }
+    }
+}
+
+// Whether what is written there now could not be told as a success: the lead is known to be changing, and no
+// lease says that the change has not begun to count.
+bool Pooler::mustDeferWrites(const Service& service) const {
+    return !service.steady && !service.primaryEvidence.isSettled(now_);
+}
+
+void Pooler::deferWrite(Session& session, Service& service) {
+    ++counters_.deferred;
+    session.pending->deferred = true;
+    service.deferredClients.push_back(session.client);
+}
+
+// The lead is settled again, or another: what waited goes on, there or elsewhere.
+void Pooler::resumeDeferredWrites(Service& service) {
+    if (mustDeferWrites(service)) return;
+    for (const int client : std::exchange(service.deferredClients, {})) {
+        const auto found = sessions_.find(client);
+        if (found == sessions_.end() || !found->second->pending) continue;
+        Session& session = *found->second;
+        PendingStatement& pending = *session.pending;
+        if (!std::exchange(pending.deferred, false) || !pending.store) continue;
+        Store& store = *pending.store;
+        if (pending.connection)
+            prepareConnection(session, *pending.connection);
+        else if (store.id != service.primary)
+            reportOutcome(attemptOf(pending), store, Ending::unsent, {}, false);
+        else
+            startOnStore(session, store);
+    }
+}
+
+}  // namespace granitereel::proxy
--- a/standins/poolerrig.cpp
+++ b/standins/poolerrig.cpp
@@ -3,12 +3,12 @@
 namespace granitereel::standins {
 
 using nlohmann::json;
-using proxy::CloseLine;
-using proxy::EndClient;
-using proxy::OpenLine;
-using proxy::ToAgent;
-using proxy::ToClient;
-using proxy::ToLine;
+using proxy::CloseStoreConnection;
+using proxy::CloseClient;
+using proxy::OpenStoreConnection;
+using proxy::SendToAgent;
+using proxy::SendToClient;
+using proxy::SendToStore;
 
 namespace {
 settings::Settings settings() {
@@ -23,7 +23,7 @@
 
 PoolerRig::PoolerRig(int stores, int sync, bool leased) : databases("svc", stores, sync), leases(leased) {
     pooler = std::make_unique<proxy::Pooler>(settings(), 7, now);
-    pooler->agentUp(now);
+    pooler->onAgentConnected(now);
     config(1);
     for (const std::string& store : databases.names()) standing(store, "accepting");
     lead(databases.lead());
@@ -48,7 +48,7 @@
     route("primary", "head_office", 0);
     if (bounded) route("bounded", "age_bounded", 1500);
     route("mine", "own", 2500);
-    pooler->agentSaid({{"k", "news"},
+    pooler->onAgentMessage({{"k", "news"},
                        {"r",
                         {{{"n", "config"},
                           {"v", {edition, 0}},
@@ -69,7 +69,7 @@
               {"standing", standing},
               {"role", role.empty() ? databases.roleOf(store) : role}};
     if (standing.empty()) body = nullptr;
-    pooler->agentSaid(
+    pooler->onAgentMessage(
         {{"k", "news"}, {"r", {{{"n", "store/" + store}, {"v", {++version_, 0}}, {"b", body}}}}}, now);
     carry();
 }
@@ -84,24 +84,24 @@
             if (name != store) replicas.insert(name);
         body["replicas"] = replicas;
     }
-    pooler->agentSaid({{"k", "news"}, {"r", {{{"n", "lead/svc"}, {"v", {seq_, 0}}, {"b", body}}}}}, now);
+    pooler->onAgentMessage({{"k", "news"}, {"r", {{{"n", "lead/svc"}, {"v", {seq_, 0}}, {"b", body}}}}}, now);
     carry();
 }
 
 int PoolerRig::client(const std::string& database) {
     const int no = ++lastClient_;
-    pooler->clientCame(no, now);
+    pooler->onClientConnected(no, now);
     say(no, "GREET " + database + " u");
     return no;
 }
 
 void PoolerRig::say(int client, const std::string& line) {
-    pooler->clientSaid(client, line, now);
+    pooler->onClientLine(client, line, now);
     carry();
 }
 
 void PoolerRig::leave(int client) {
-    pooler->clientLeft(client, now);
+    pooler->onClientDisconnected(client, now);
     carry();
 }
 
@@ -114,21 +114,21 @@
 }
 
 void PoolerRig::carry() {
-    for (auto outputs = pooler->take(); !outputs.empty(); outputs = pooler->take())
+    for (auto outputs = pooler->takeOutputs(); !outputs.empty(); outputs = pooler->takeOutputs())
         for (auto& output : outputs) {
-            if (auto* out = std::get_if<ToClient>(&output)) said_[out->client] += out->bytes;
-            if (auto* out = std::get_if<EndClient>(&output)) ended_.insert(out->client);
-            if (auto* out = std::get_if<OpenLine>(&output)) {
-                lines_[out->line] = {out->address, 0, {}};
-                opening_.push_back(out->line);
+            if (auto* out = std::get_if<SendToClient>(&output)) said_[out->client] += out->bytes;
+            if (auto* out = std::get_if<CloseClient>(&output)) ended_.insert(out->client);
+            if (auto* out = std::get_if<OpenStoreConnection>(&output)) {
+                lines_[out->connection] = {out->address, 0, {}};
+                opening_.push_back(out->connection);
             }
-            if (auto* out = std::get_if<ToLine>(&output)) {
-                const auto at = lines_.find(out->line);
+            if (auto* out = std::get_if<SendToStore>(&output)) {
+                const auto at = lines_.find(out->connection);
                 if (at != lines_.end())
                     at->second.requests.push_back(out->bytes.substr(0, out->bytes.size() - 2));
             }
-            if (auto* out = std::get_if<CloseLine>(&output)) {
-                const auto at = lines_.find(out->line);
+            if (auto* out = std::get_if<CloseStoreConnection>(&output)) {
+                const auto at = lines_.find(out->connection);
                 if (at == lines_.end()) continue;
                 // What was on its way still arrives; its answer reaches nobody.
                 for (const std::string& request : at->second.requests)
@@ -136,13 +136,13 @@
                 if (at->second.connection) databases.closed(at->second.connection);
                 lines_.erase(at);
             }
-            if (auto* out = std::get_if<ToAgent>(&output)) {
+            if (auto* out = std::get_if<SendToAgent>(&output)) {
                 toCourier.push_back(out->message);
                 // This agent holds nothing but what the rig tells.
                 if (exchanges && out->message.value("k", "") == board::Inventory::kind)
-                    pooler->agentSaid(board::Complete{out->message.at("exchange"), 0}.toJson(), now);
+                    pooler->onAgentMessage(board::Complete{out->message.at("exchange"), 0}.toJson(), now);
                 if (leases && out->message.value("k", "") == "lease?")
-                    pooler->agentSaid(
+                    pooler->onAgentMessage(
                         {{"k", "lease"}, {"t", out->message["t"]}, {"left", 700'000}, {"c", json::object()}},
                         now);
             }
@@ -155,7 +155,7 @@
         opening_.pop_front();
         if (!lines_.count(no)) return true;
         lines_[no].connection = databases.connect(lines_[no].store);
-        pooler->lineOpened(no, now);
+        pooler->onStoreConnected(no, now);
         carry();
         return true;
     }
@@ -218,7 +218,7 @@
 
 void PoolerRig::storeSays(int line, std::string bytes) {
     for (std::size_t end; (end = bytes.find("\r\n")) != bytes.npos; bytes.erase(0, end + 2))
-        pooler->lineSaid(line, bytes.substr(0, end), now);
+        pooler->onStoreLine(line, bytes.substr(0, end), now);
     carry();
 }
 
@@ -242,7 +242,7 @@
     if (at == lines_.end()) return;
     if (at->second.connection) databases.closed(at->second.connection);
     lines_.erase(at);
-    pooler->lineEnded(no, false, now);
+    pooler->onStoreDisconnected(no, false, now);
     carry();
 }
 
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -16,7 +16,7 @@
 
 #include "control/succession.hpp"
 #include "board/lease.hpp"
-#include "proxy/lead_evidence.hpp"
+#include "proxy/primary_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "standins/databases.hpp"
 
@@ -111,7 +111,7 @@
         std::string store;
         bool frozen = false, cutOff = false;
         std::uint64_t heardSeq = 0;
-        proxy::LeadEvidence evidence;
+        proxy::PrimaryEvidence evidence;
         proxy::ReplicaEvidence replicas;
         std::map<std::string, int> witnesses;  // connections to replicas made while the lead was settled
         std::vector<std::pair<std::string, proxy::AcknowledgedWrite>> unproven;  // by the write's id
@@ -246,26 +246,26 @@
             if (!databases.open(connection) || chance() % 2) continue;
             const auto told = databases.said(connection, "QUERY - STATUS");
             const auto row = told ? rowOf(*told) : std::nullopt;
-            if (row) front.replicas.told(store, *row);
+            if (row) front.replicas.recordStatus(store, *row);
         }
     }
     bool provenByReplicas(const Front& front, const proxy::AcknowledgedWrite& write) const {
         return options.provesByReplicas && write.position &&
                now < front.evidence.settledUntil() + board::recordsRestedOnFor &&
-               front.replicas.holds(*write.position, 1);
+               front.replicas.allHave(*write.position, 1);
     }
     // Tells clients of writes that are kept; those of which nothing is known are in doubt.
     void judge(Front& front) {
         if (options.provesByReplicas) askReplicas(front);
         std::erase_if(front.unproven, [&](const auto& each) {
-            proxy::WriteFate fate = front.evidence.fateOf(each.second);
-            if (fate == proxy::WriteFate::open && provenByReplicas(front, each.second)) {
-                fate = proxy::WriteFate::kept;
+            proxy::WriteDurability fate = front.evidence.durabilityOf(each.second);
+            if (fate == proxy::WriteDurability::undecided && provenByReplicas(front, each.second)) {
+                fate = proxy::WriteDurability::durable;
                 ++provenAlone;
             }
-            if (fate == proxy::WriteFate::kept) acknowledged.push_back(each.first);
-            if (fate == proxy::WriteFate::unknown) ++doubtful;
-            return fate != proxy::WriteFate::open;
+            if (fate == proxy::WriteDurability::durable) acknowledged.push_back(each.first);
+            if (fate == proxy::WriteDurability::unknown) ++doubtful;
+            return fate != proxy::WriteDurability::undecided;
         });
     }
 
@@ -462,10 +462,10 @@
                     front.store = store;
                     if (record.seq < front.heardSeq) return;  // overtaken by a later record
                     front.heardSeq = record.seq;
-                    front.evidence.recorded(record.term, record.retained);
-                    front.replicas.recorded(record.term, record.replicas);
-                    if (record.steady) front.evidence.settledUntil(asked + frontLease);
-                    if (options.provesByReplicas && front.evidence.settled(now) && !front.frozen)
+                    front.evidence.updateRecord(record.term, record.retained);
+                    front.replicas.updateRecord(record.term, record.replicas);
+                    if (record.steady) front.evidence.extendSettled(asked + frontLease);
+                    if (options.provesByReplicas && front.evidence.isSettled(now) && !front.frozen)
                         openWitnesses(front);
                     if (!front.frozen) judge(front);
                 });
--- a/tests/system/acknowledgements.cpp
+++ b/tests/system/acknowledgements.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "proxy/lead_evidence.hpp"
+#include "proxy/primary_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
 #include "standins/poolerrig.hpp"
 #include "standins/succession_rig.hpp"
@@ -12,8 +12,8 @@
 namespace {
 using namespace granitereel;
 using proxy::AcknowledgedWrite;
-using proxy::LeadEvidence;
-using proxy::WriteFate;
+using proxy::PrimaryEvidence;
+using proxy::WriteDurability;
 using standins::PoolerRig;
 using Lines = std::vector<std::string>;
 
@@ -58,40 +58,40 @@
     return rig.told(client);
 }
 
-TEST(LeadEvidence, KeepsAWriteThatWasAnsweredUnderALeaseOfItsTerm) {
-    LeadEvidence evidence;
-    evidence.recorded(3, {});
+TEST(PrimaryEvidence, KeepsAWriteThatWasAnsweredUnderALeaseOfItsTerm) {
+    PrimaryEvidence evidence;
+    evidence.updateRecord(3, {});
     const AcknowledgedWrite write{Mark{3, 7}, 3, millis(100)};
-    EXPECT_EQ(evidence.fateOf(write), WriteFate::open);
-    evidence.settledUntil(millis(100));
-    EXPECT_EQ(evidence.fateOf(write), WriteFate::open);  // at the end of the lease is behind it
-    evidence.settledUntil(millis(101));
-    EXPECT_EQ(evidence.fateOf(write), WriteFate::kept);
-    evidence.settledUntil(millis(50));  // leases end at different times, the latest counts
-    EXPECT_EQ(evidence.fateOf(write), WriteFate::kept);
+    EXPECT_EQ(evidence.durabilityOf(write), WriteDurability::undecided);
+    evidence.extendSettled(millis(100));
+    EXPECT_EQ(evidence.durabilityOf(write), WriteDurability::undecided);  // at the end of the lease is behind it
+    evidence.extendSettled(millis(101));
+    EXPECT_EQ(evidence.durabilityOf(write), WriteDurability::durable);
+    evidence.extendSettled(millis(50));  // leases end at different times, the latest counts
+    EXPECT_EQ(evidence.durabilityOf(write), WriteDurability::durable);
 }
 
-TEST(LeadEvidence, ANewTermEndsWhatWasGrantedForTheOneBefore) {
-    LeadEvidence evidence;
-    evidence.recorded(3, {});
-    evidence.settledUntil(millis(900));
-    evidence.recorded(4, {});
-    EXPECT_FALSE(evidence.settled(millis(100)));
-    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, millis(100)}), WriteFate::unknown);
-    EXPECT_EQ(evidence.fateOf({Mark{4, 1}, 4, millis(100)}), WriteFate::open);
-    EXPECT_EQ(evidence.fateOf({Mark{5, 1}, 5, millis(100)}), WriteFate::open);
+TEST(PrimaryEvidence, ANewTermEndsWhatWasGrantedForTheOneBefore) {
+    PrimaryEvidence evidence;
+    evidence.updateRecord(3, {});
+    evidence.extendSettled(millis(900));
+    evidence.updateRecord(4, {});
+    EXPECT_FALSE(evidence.isSettled(millis(100)));
+    EXPECT_EQ(evidence.durabilityOf({Mark{3, 7}, 3, millis(100)}), WriteDurability::unknown);
+    EXPECT_EQ(evidence.durabilityOf({Mark{4, 1}, 4, millis(100)}), WriteDurability::undecided);
+    EXPECT_EQ(evidence.durabilityOf({Mark{5, 1}, 5, millis(100)}), WriteDurability::undecided);
 }
 
-TEST(LeadEvidence, KeepsWhatThePromotedStoreHadOfTheTermBefore) {
-    LeadEvidence evidence;
-    evidence.recorded(3, {});
-    evidence.recorded(4, Mark{3, 7});
-    EXPECT_EQ(evidence.fateOf({Mark{3, 6}, 3, 0}), WriteFate::kept);
-    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, 0}), WriteFate::kept);
-    EXPECT_EQ(evidence.fateOf({Mark{3, 8}, 3, 0}), WriteFate::unknown);
-    EXPECT_EQ(evidence.fateOf({std::nullopt, 3, 0}), WriteFate::unknown);
+TEST(PrimaryEvidence, KeepsWhatThePromotedStoreHadOfTheTermBefore) {
+    PrimaryEvidence evidence;
+    evidence.updateRecord(3, {});
+    evidence.updateRecord(4, Mark{3, 7});
+    EXPECT_EQ(evidence.durabilityOf({Mark{3, 6}, 3, 0}), WriteDurability::durable);
+    EXPECT_EQ(evidence.durabilityOf({Mark{3, 7}, 3, 0}), WriteDurability::durable);
+    EXPECT_EQ(evidence.durabilityOf({Mark{3, 8}, 3, 0}), WriteDurability::unknown);
+    EXPECT_EQ(evidence.durabilityOf({std::nullopt, 3, 0}), WriteDurability::unknown);
     // Of the terms before it is not known whether the lead in between had them.
-    EXPECT_EQ(evidence.fateOf({Mark{2, 1}, 2, 0}), WriteFate::unknown);
+    EXPECT_EQ(evidence.durabilityOf({Mark{2, 1}, 2, 0}), WriteDurability::unknown);
 }
 
 StoreRow replicaRow(std::uint64_t term, Mark received) {
@@ -103,41 +103,41 @@
 
 TEST(ReplicaEvidence, HoldsWhatEveryReplicaOnRecordHasReceivedInItsTerm) {
     proxy::ReplicaEvidence evidence;
-    evidence.recorded(3, {"s1", "s2"});
-    EXPECT_FALSE(evidence.holds({3, 7}, 1));
-    evidence.told("s1", replicaRow(3, {3, 7}));
-    EXPECT_FALSE(evidence.holds({3, 7}, 1));
-    evidence.told("s2", replicaRow(3, {3, 9}));
-    EXPECT_TRUE(evidence.holds({3, 7}, 1));
-    EXPECT_FALSE(evidence.holds({3, 8}, 1));
-    evidence.told("s2", replicaRow(3, {3, 6}));  // an earlier row that comes late takes nothing back
-    EXPECT_TRUE(evidence.holds({3, 7}, 1));
-    EXPECT_FALSE(evidence.holds({2, 1}, 1));  // of another term: may have been cut back
-    evidence.recorded(3, {"s1", "s2", "s3"});
-    EXPECT_FALSE(evidence.holds({3, 7}, 1));
+    evidence.updateRecord(3, {"s1", "s2"});
+    EXPECT_FALSE(evidence.allHave({3, 7}, 1));
+    evidence.recordStatus("s1", replicaRow(3, {3, 7}));
+    EXPECT_FALSE(evidence.allHave({3, 7}, 1));
+    evidence.recordStatus("s2", replicaRow(3, {3, 9}));
+    EXPECT_TRUE(evidence.allHave({3, 7}, 1));
+    EXPECT_FALSE(evidence.allHave({3, 8}, 1));
+    evidence.recordStatus("s2", replicaRow(3, {3, 6}));  // an earlier row that comes late takes nothing back
+    EXPECT_TRUE(evidence.allHave({3, 7}, 1));
+    EXPECT_FALSE(evidence.allHave({2, 1}, 1));  // of another term: may have been cut back
+    evidence.updateRecord(3, {"s1", "s2", "s3"});
+    EXPECT_FALSE(evidence.allHave({3, 7}, 1));
 }
 
 TEST(ReplicaEvidence, CountsNoRowOfAnotherTermOrOfAPrimary) {
     proxy::ReplicaEvidence evidence;
-    evidence.recorded(3, {"s1"});
-    evidence.told("s1", replicaRow(4, {3, 7}));  // follows the next lead: its log may be cut back
-    evidence.told("s1", replicaRow(3, {2, 7}));
+    evidence.updateRecord(3, {"s1"});
+    evidence.recordStatus("s1", replicaRow(4, {3, 7}));  // follows the next lead: its log may be cut back
+    evidence.recordStatus("s1", replicaRow(3, {2, 7}));
     StoreRow leads = replicaRow(3, {3, 7});
     leads.primary = true;
-    evidence.told("s1", leads);
-    EXPECT_FALSE(evidence.holds({3, 7}, 1));
-    evidence.told("s1", replicaRow(3, {3, 7}));
-    EXPECT_TRUE(evidence.holds({3, 7}, 1));
-    EXPECT_FALSE(evidence.holds({3, 7}, 2));  // the record names fewer than are synchronous
-    evidence.recorded(4, {"s1"});
-    EXPECT_FALSE(evidence.holds({4, 1}, 1));
+    evidence.recordStatus("s1", leads);
+    EXPECT_FALSE(evidence.allHave({3, 7}, 1));
+    evidence.recordStatus("s1", replicaRow(3, {3, 7}));
+    EXPECT_TRUE(evidence.allHave({3, 7}, 1));
+    EXPECT_FALSE(evidence.allHave({3, 7}, 2));  // the record names fewer than are synchronous
+    evidence.updateRecord(4, {"s1"});
+    EXPECT_FALSE(evidence.allHave({4, 1}, 1));
 }
 
 TEST(ReplicaEvidence, HoldsNothingWithoutReplicasOnRecord) {
     proxy::ReplicaEvidence evidence;
-    evidence.recorded(3, {});
-    EXPECT_FALSE(evidence.holds({3, 7}, 0));
-    EXPECT_FALSE(evidence.holds({3, 7}, 1));
+    evidence.updateRecord(3, {});
+    EXPECT_FALSE(evidence.allHave({3, 7}, 0));
+    EXPECT_FALSE(evidence.allHave({3, 7}, 1));
 }
 
 // A proxy whose record of the lead names the replicas, without a lease for a while. A session reads on
@@ -292,7 +292,7 @@
     rig.leases = true;
     rig.run(millis(250));
     EXPECT_TRUE(rig.told(c).empty());
-    EXPECT_EQ(rig.pooler->sessions(), 0u);
+    EXPECT_EQ(rig.pooler->sessionCount(), 0u);
 }
 
 TEST(Acknowledgements, AStatementBehindAnUntoldWriteWaitsForIt) {
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -6,14 +6,14 @@
 
 #include "agent/agent.hpp"
 #include "board/gossip.hpp"
-#include "proxy/horizon.hpp"
+#include "proxy/commit_horizon.hpp"
 #include "proxy/wire.hpp"
 #include "settings/settings.hpp"
 
 namespace {
 using namespace granitereel;
-using proxy::Horizon;
-using proxy::readStatement;
+using proxy::CommitHorizon;
+using proxy::parseStatement;
 using Kind = proxy::Statement::Kind;
 
 TEST(Wire, ReadsEachTextAndNothingElse) {
@@ -36,11 +36,11 @@
                                                   {"PAUSE 3", Kind::malformed},
                                                   {"AFTER 1.1 READ x", Kind::malformed},
                                                   {"RESET", Kind::malformed}};
-    for (const auto& [text, kind] : texts) EXPECT_EQ(readStatement("q", text).kind, kind) << text;
-    EXPECT_EQ(readStatement("q", "PARSE s WRITE x y").value, "x y");
-    EXPECT_EQ(readStatement("q", "EXECUTE s t d e").thing, "t d e");
-    EXPECT_EQ(proxy::errorOf("LAGGING"), proxy::Error::lagging);
-    EXPECT_EQ(proxy::errorOf("SOMETHING"), proxy::Error::other);
+    for (const auto& [text, kind] : texts) EXPECT_EQ(parseStatement("q", text).kind, kind) << text;
+    EXPECT_EQ(parseStatement("q", "PARSE s WRITE x y").value, "x y");
+    EXPECT_EQ(parseStatement("q", "EXECUTE s t d e").argument, "t d e");
+    EXPECT_EQ(proxy::parseError("LAGGING"), proxy::Error::lagging);
+    EXPECT_EQ(proxy::parseError("SOMETHING"), proxy::Error::other);
 }
 
 TEST(Marks, CompareByTermFirst) {
@@ -50,22 +50,22 @@
     EXPECT_EQ(written(*readMark("3.1207")), "3.1207");
 }
 
-TEST(Horizon, CoversWhatWasAcknowledgedBefore) {
-    Horizon horizon;
-    EXPECT_FALSE(horizon.covering(0));
-    horizon.saw({1, 10}, millis(1000));
-    horizon.saw({1, 8},
+TEST(CommitHorizon, CoversWhatWasAcknowledgedBefore) {
+    CommitHorizon horizon;
+    EXPECT_FALSE(horizon.positionCovering(0));
+    horizon.observe({1, 10}, millis(1000));
+    horizon.observe({1, 8},
                 millis(1100));  // overtaken on its way: shows less, and covers as much as the one before
-    horizon.saw({1, 20}, millis(1200));
-    horizon.saw({2, 21}, millis(1300));
-    EXPECT_EQ(*horizon.covering(millis(900)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1100)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1101)), (Mark{1, 20}));
-    EXPECT_FALSE(horizon.covering(millis(1301)));
-    EXPECT_EQ(*horizon.covering(millis(900), 2), (Mark{2, 21}));
-    EXPECT_EQ(*horizon.holds({1, 15}), millis(1100));
-    EXPECT_FALSE(horizon.holds({1, 9}));
-    EXPECT_EQ(*horizon.holds({3, 1}), millis(1300));
+    horizon.observe({1, 20}, millis(1200));
+    horizon.observe({2, 21}, millis(1300));
+    EXPECT_EQ(*horizon.positionCovering(millis(900)), (Mark{1, 10}));
+    EXPECT_EQ(*horizon.positionCovering(millis(1100)), (Mark{1, 10}));
+    EXPECT_EQ(*horizon.positionCovering(millis(1101)), (Mark{1, 20}));
+    EXPECT_FALSE(horizon.positionCovering(millis(1301)));
+    EXPECT_EQ(*horizon.positionCovering(millis(900), 2), (Mark{2, 21}));
+    EXPECT_EQ(*horizon.coveredUntil({1, 15}), millis(1100));
+    EXPECT_FALSE(horizon.coveredUntil({1, 9}));
+    EXPECT_EQ(*horizon.coveredUntil({3, 1}), millis(1300));
 }
 
 std::string settings(const std::string& text) {
--- a/tests/system/pooler.cpp
+++ b/tests/system/pooler.cpp
@@ -133,9 +133,9 @@
     rig.told(c);
     rig.leases = false;
     rig.pass(millis(1000));
-    const auto before = rig.pooler->counts().guarded;
+    const auto before = rig.pooler->counters().guarded;
     EXPECT_EQ(first(rig.ask(c, "QUERY r1 READ x")).substr(0, 3), "ROW");
-    EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
+    EXPECT_EQ(rig.pooler->counters().guarded, before + 1);
     // Unheard of here, another leads: the old lead refuses within a transaction, so nothing stale is read.
     ASSERT_TRUE(rig.databases.promote("s1"));
     const Lines told = rig.ask(c, "QUERY r2 READ x");
@@ -149,17 +149,17 @@
     PoolerRig rig;
     const int c = rig.client();
     rig.told(c);
-    rig.pooler->agentDown();
+    rig.pooler->onAgentDisconnected();
     rig.exchanges = false;
-    rig.pooler->agentUp(rig.now);
+    rig.pooler->onAgentConnected(rig.now);
     rig.pass(millis(1000));
-    const auto before = rig.pooler->counts().guarded;
+    const auto before = rig.pooler->counters().guarded;
     EXPECT_EQ(first(rig.ask(c, "QUERY r1 READ x")).substr(0, 3), "ROW");
-    EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
+    EXPECT_EQ(rig.pooler->counters().guarded, before + 1);
     rig.exchanges = true;
     rig.pass(millis(4000));  // the exchange is begun again
     EXPECT_EQ(first(rig.ask(c, "QUERY r2 READ x")).substr(0, 3), "ROW");
-    EXPECT_EQ(rig.pooler->counts().guarded, before + 1);
+    EXPECT_EQ(rig.pooler->counters().guarded, before + 1);
 }
 
 TEST(Pooler, ReadsReplicasOnlyBehindAPositionThatIsYoungEnough) {
@@ -229,14 +229,14 @@
     rig.told(rests), rig.told(works);
     rig.ask(works, "QUERY b1 BEGIN");
     rig.ask(works, "QUERY w1 WRITE x 1");
-    rig.pooler->leave(rig.now);
+    rig.pooler->beginShutdown(rig.now);
     EXPECT_FALSE(rig.pooler->ready());
     rig.run(millis(2500));
     EXPECT_TRUE(rig.ended(rests));
     EXPECT_FALSE(rig.ended(works));
     EXPECT_EQ(first(rig.ask(works, "QUERY c1 COMMIT")).substr(0, 4), "DONE");
     rig.run(millis(200));
-    EXPECT_TRUE(rig.pooler->over());
+    EXPECT_TRUE(rig.pooler->drained());
 }
 
 TEST(Pooler, NamesWhatIsMalformedAndHarmsNobody) {
@@ -306,7 +306,7 @@
                 left = true;
                 break;
             case 5:
-                rig.pooler->leave(rig.now);
+                rig.pooler->beginShutdown(rig.now);
                 break;
             case 6:  // an answer is lost, and time passes
                 rig.databases.loseNextAnswer(rig.databases.lead());
@@ -335,7 +335,7 @@
     if (a.size() > 1) return "a transaction's statement ran on two connections";
     if (!a.empty() && !b.empty() && a != b) return "a transaction was split";
     // Whatever happened, others are served.
-    if (!rig.pooler->over()) {
+    if (!rig.pooler->drained()) {
         rig.told(other);
         for (const std::string& store : rig.databases.names()) rig.databases.loseNextAnswer(store, false);
         if (!rig.ended(other)) {
--- a/tests/system/proxy_calls.cpp
+++ b/tests/system/proxy_calls.cpp
@@ -217,7 +217,7 @@
         rig.holdsAnswers = true;
         if (amidAnswer) rig.say(c, "QUERY r1 READ x");
         rig.step();
-        rig.pooler->clientCame(c, rig.now);  // its end was not told
+        rig.pooler->onClientConnected(c, rig.now);  // its end was not told
         rig.say(c, "GREET primary u");
         rig.told(c);
         rig.holdsAnswers = false;
@@ -411,7 +411,7 @@
         rig.ask(c, "QUERY b" + name + " BEGIN");
         rig.ask(c, "QUERY w" + name + " WRITE x 1");
     }
-    rig.pooler->leave(rig.now);
+    rig.pooler->beginShutdown(rig.now);
     rig.run(millis(1500));
     rig.ask(rests, "QUERY r1 READ x");  // so that it isn't ended for resting too long
     rig.run(millis(1400));
@@ -441,16 +441,16 @@
         ASSERT_TRUE(rig.databases.promote("s1"));
         commitElsewhere(rig, "other");
         rig.databases.slow("s0", true);
-        const auto guarded = rig.pooler->counts().guarded;
+        const auto guarded = rig.pooler->counters().guarded;
         if (lateGrant)
-            rig.pooler->agentSaid(
+            rig.pooler->onAgentMessage(
                 {{"k", "lease"}, {"t", rig.toCourier.back()["t"]}, {"left", 700'000}, {"c", json::object()}},
                 rig.now);
         rig.leases = false;
         rig.say(c, "QUERY r1 READ x");
         for (int i = 0; i < 6; ++i) rig.step();
         EXPECT_NE(first(rig.told(c)).substr(0, 3), "ROW");
-        EXPECT_GT(rig.pooler->counts().guarded, guarded);
+        EXPECT_GT(rig.pooler->counters().guarded, guarded);
     }
 }
 
@@ -487,15 +487,15 @@
     rig.leases = false;
     auto answer = [&](int left_ms, const json& unsettled) {
         rig.run(millis(205));
-        rig.pooler->agentSaid(
+        rig.pooler->onAgentMessage(
             {{"k", "lease"}, {"t", rig.toCourier.back()["t"]}, {"left", left_ms * 1000}, {"c", unsettled}},
             rig.now);
     };
     answer(700, {{"svc", 99}});  // the lead is about to change
     answer(0, json::object());   // the agent has started anew
-    const auto guarded = rig.pooler->counts().guarded;
+    const auto guarded = rig.pooler->counters().guarded;
     rig.ask(c, "QUERY r1 READ x");
-    EXPECT_EQ(rig.pooler->counts().guarded, guarded + 1);
+    EXPECT_EQ(rig.pooler->counters().guarded, guarded + 1);
 }
 
 TEST(ProxyCalls, AnAnswerOfAnEarlierLinkToTheAgentGrantsNothing) {
@@ -505,13 +505,13 @@
     rig.leases = false;
     rig.run(millis(1000));
     const json question = rig.toCourier.back()["t"];
-    rig.pooler->agentDown();
-    rig.pooler->agentUp(rig.now);
-    rig.pooler->agentSaid({{"k", "lease"}, {"t", question}, {"left", 700'000}, {"c", json::object()}},
+    rig.pooler->onAgentDisconnected();
+    rig.pooler->onAgentConnected(rig.now);
+    rig.pooler->onAgentMessage({{"k", "lease"}, {"t", question}, {"left", 700'000}, {"c", json::object()}},
                           rig.now);
-    const auto guarded = rig.pooler->counts().guarded;
+    const auto guarded = rig.pooler->counters().guarded;
     rig.ask(c, "QUERY r1 READ x");
-    EXPECT_EQ(rig.pooler->counts().guarded, guarded + 1);
+    EXPECT_EQ(rig.pooler->counters().guarded, guarded + 1);
 }
 
 // ---- everything at once, by seed ------------------------------------------------------------------
