--- a/src/proxy/agent_updates.cpp
+++ b/src/proxy/agent_updates.cpp
@@ -1,4 +1,4 @@
-// What the agent says: the lease, the configuration, the stores and who leads.
+// Messages from the agent: the lease, the configuration, the stores and the primaries.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace granitereel::proxy {
 
 namespace {
-// The only link that the proxy's board is told over.
+// The id of the only link over which the proxy's record table is updated.
 constexpr int agentLink = 1;
 }  // namespace
 
@@ -45,7 +45,9 @@
     drainWorkQueues();
 }
 
-// Whether all is here that the agent held when it gave the lease.
+// Whether the proxy holds everything that the agent held when it granted the lease. A lease that counted
+// without it could confirm a primary by a record that the agent already knew to be outdated, and a read
+// there could be stale.
 bool Pooler::holdsRecordsForLease(const board::LeaseReply& leaseReply) {
     if (!recordReplicator_.complete(agentLink)) return false;
     const std::uint64_t held = board::configurationVersion(recordReplicator_.board());
@@ -77,8 +79,8 @@
 }
 
 void Pooler::applyConfiguration(const Json& body) {
-    // Of what stands on the board only higher versions come here; what was once in force is never gone back
-    // from.
+    // The record table passes on only higher versions; a configuration that was in force is never
+    // replaced by an earlier one.
     const std::uint64_t previous = configuration_.edition;
     configuration_ = configuration::read(body);
     if (configured_ && configuration_.edition <= previous)
@@ -138,7 +140,8 @@
     updateRouterState(store);
 }
 
-// A primary that winds down leads until its successor does, for as long as it may be used at all.
+// A draining primary is still used for writes until its successor takes over, as long as the drain time
+// allows.
 void Pooler::updateRouterState(Store& store) {
     Service& service = *store.service;
     Standing state = store.removed         ? Standing::removed
@@ -173,14 +176,14 @@
     router_.leads(service.group, service.primary);
     for (auto& [id, store] : service.stores)
         if (store->drainingSince) updateRouterState(*store);
-    outputs_.push_back(WriteLog{service.name + " is led by " + service.primary + " in term " +
+    outputs_.push_back(WriteLog{service.name + ": primary is " + service.primary + " in term " +
                                 std::to_string(service.term)});
     if (!previous.empty()) abandonFormerPrimary(previous);
 }
 
-// Whatever of ours is open at a store that led ends there: its plain transactions can't go on, and what it
-// was asked to commit it will not answer for. What only waited for a connection goes to the next lead at
-// once.
+// Ends all that is open at a former primary: read-write transactions can't go on there, and it will not
+// answer for commits it was asked for. Statements that only waited for a connection go to the next
+// primary at once.
 void Pooler::abandonFormerPrimary(const std::string& storeId) {
     std::vector<StoreConnection*> abandoned;
     for (auto& [connectionId, connection] : connections_) {
@@ -199,10 +202,11 @@
     if (found != stores_.end()) failWaitingClients(*found->second, Ending::unsent);
 }
 
-// A front whose record may have been taken down has no share any more but for one connection.
+// A proxy whose record may have been removed has no share of the connection slots beyond one connection:
+// the other proxies divide the slots without it, and together they would exceed the store's limit.
 int Pooler::connectionShare(const Service& service) const {
     if (now_ - std::max(lease_.until(), startedAt_) > board::presumedGoneAfter) return 1;
-    // Some are left to control, which asks stores how they are.
+    // Two slots per store are left to control, which queries the stores' status.
     return service.connectionSlots == 0 ? 64 : std::max(1, (service.connectionSlots - 2) / proxyCount_);
 }
 
--- a/src/proxy/commit_horizon.cpp
+++ b/src/proxy/commit_horizon.cpp
@@ -5,14 +5,16 @@
 namespace granitereel::proxy {
 
 namespace {
-// Pairs closer together than this tell no more; kept for longer than any staleness worth a replica.
+// Pairs closer together than this carry no useful extra information. The history reaches further back
+// than any staleness at which a replica read is worthwhile.
 constexpr Nanos minPairSpacing = millis(20);
 constexpr std::size_t maxPairs = 400;
 }  // namespace
 
 void CommitHorizon::observe(const Mark& position, Nanos sentAt) {
-    // Answers overtake each other: one to a later question may show less than one heard before, and covers
-    // its moment all the same only with the greater of both.
+    // Responses on different connections overtake each other: the response to a later query may carry
+    // a lower position than one that was received earlier. It covers its own send time only with the
+    // higher of both.
     if (!pairs_.empty()) {
         Pair& last = pairs_.back();
         if (sentAt <= last.sentAt) return;
--- a/src/proxy/commit_horizon.hpp
+++ b/src/proxy/commit_horizon.hpp
@@ -1,7 +1,7 @@
-// What is known of a service's log: pairs of a position and a moment, each saying that every commit
-// acknowledged before the moment lies at or below the position. A pair comes from an answer of the store that
-// had the lead for certain when the question was sent; so a read behind AFTER that position misses nothing
-// acknowledged before.
+// What is known of a service's log: pairs of a log position and a time. Each pair states that every
+// commit acknowledged before that time lies at or below that position. A pair comes from a response of
+// the store that was certainly the primary when the query was sent. So a replica that has applied the log
+// up to that position (AFTER) serves a read that misses no commit acknowledged before that time.
 #pragma once
 
 #include <deque>
@@ -14,16 +14,16 @@
 
 class CommitHorizon {
 public:
-    // All commits acknowledged before `asked` lie at or below `mark`.
+    // Records that all commits acknowledged before `sentAt` lie at or below `position`.
     void observe(const Mark& position, Nanos sentAt);
-    // The lowest position known to hold every commit acknowledged before `since`.
+    // The lowest position known to cover every commit acknowledged before `since`.
     std::optional<Mark> positionCovering(Nanos since) const;
-    // As that, and of this term or a later one.
+    // The same, restricted to positions of this term or a later one.
     std::optional<Mark> positionCovering(Nanos since, std::uint64_t term) const;
-    // Every commit acknowledged before this lies at or below the position; none: nothing of the kind is
-    // known.
+    // The time before which every acknowledged commit lies at or below the position; nullopt if
+    // nothing is known.
     std::optional<Nanos> coveredUntil(const Mark& position) const;
-    // The latest moment for which anything is known.
+    // The latest time for which a covering position is known.
     std::optional<Nanos> newestTime() const;
     bool empty() const { return pairs_.empty(); }
 
@@ -32,7 +32,7 @@
         Mark position;
         Nanos sentAt;
     };
-    std::deque<Pair> pairs_;  // both grow
+    std::deque<Pair> pairs_;  // ascending in both position and time
 };
 
 }  // namespace granitereel::proxy
--- a/src/proxy/pooler.cpp
+++ b/src/proxy/pooler.cpp
@@ -10,7 +10,8 @@
 namespace {
 Charter charterOf(const settings::Settings& settings, int zone) {
     Charter charter;
-    // Pools are dealt rotated by a number of the front's own.
+    // The router rotates the assignment of stores to pools by this number, which should differ between
+    // proxies.
     charter.front = static_cast<int>(std::hash<std::string>()(settings.station) % 1024);
     charter.zone = zone;
     charter.launchLimit = maxAttempts;
@@ -19,7 +20,7 @@
     charter.tick = millis(1);
     charter.crossingCost = 0.01;
     charter.nearAnyTier = true;
-    charter.holdShare = 0.45;  // the way to the client counts, too
+    charter.holdShare = 0.45;  // the time to reach the client counts as well
     return charter;
 }
 }  // namespace
@@ -42,7 +43,7 @@
     router_.clock(now);
 }
 
-// What the module asked for while it was told something is done behind it.
+// What the router requests while it is being called is queued, and done here after the call.
 void Pooler::drainWorkQueues() {
     for (;;) {
         if (!cancelQueue_.empty()) {
@@ -91,8 +92,9 @@
     if (found != sessionsByKey_.end()) assignStore(*found->second, store);
 }
 
-// Where Front would ask how fresh a replica is: the next read finds out, as it goes behind a position that
-// the store itself checks. Only one that may be away is tried, by a connection.
+// The router probes a replica to learn how fresh it is. No query is needed for that: the next read finds out,
+// because it carries a position that the store itself checks. Only a store that may be unreachable is
+// probed, by opening a connection.
 void Pooler::probeStore(const std::string& id) {
     const auto found = stores_.find(id);
     if (found == stores_.end()) return router_.probed(id, Ending::unreachable);
@@ -110,8 +112,8 @@
     }
 }
 
-// The first lease comes soon after the configuration where control is there; until then no success of a write
-// could be told. It is not waited for for long: reads are served without it.
+// If control is reachable, the first lease arrives soon after the configuration; without a lease, no
+// write can be reported as successful. The wait for it is bounded, because reads are served without it.
 bool Pooler::ready() const {
     const bool everSettled = std::all_of(services_.begin(), services_.end(), [](const auto& each) {
         return each.second->primaryEvidence.settledUntil() > 0;
@@ -179,7 +181,8 @@
         onDeadlineExceeded(*session, connection);
 }
 
-// Rolls back a transaction that rests for too long, or past the first half of the time to end.
+// Rolls back a transaction that has been idle for too long, or is still open after the first half of the
+// grace period.
 void Pooler::abortIdleTransaction(Session& session, StoreConnection& connection) {
     if (!session.transaction || !session.transaction->begun) return;
     const bool idleTooLong =
@@ -192,7 +195,7 @@
     session.state = 'E';
 }
 
-// What waits for a connection past its time is told so.
+// Rejects statements whose deadline passes while they wait for a connection.
 void Pooler::rejectExpiredWaiters() {
     std::vector<Session*> expired;
     for (auto& [key, session] : sessionsByKey_)
@@ -210,7 +213,7 @@
     }
 }
 
-// Ends sessions at rest, and all of them shortly before the time to end is over.
+// Closes idle sessions, and all sessions shortly before the grace period ends.
 void Pooler::closeDrainedSessions() {
     const bool all = now_ - shutdownStartedAt_ > millis(settings_.grace_ms - 500);
     std::vector<int> closing;
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -1,8 +1,8 @@
-// The proxy's state machine: clients' sessions pooled onto connections to stores ("lines"). A transaction
-// stays on one line until it ends; single statements take any. Which store runs a statement is decided by
-// Front, the module that the program in service uses too; here stand the sessions, the lines, and what makes
-// a read safe. Free of I/O, clocks and chance: what comes in is handed over with the time, what is to be done
-// comes out.
+// The proxy's state machine: clients' sessions pooled onto connections to stores. A transaction keeps one
+// connection until it ends; a single statement uses any. The router, the module that the program in
+// service uses too, decides which store runs a statement; the sessions, the connections and the
+// conditions under which a read is safe are handled here. Free of I/O, clocks and randomness: inputs
+// arrive as calls that carry the current time, and what is to be done is returned as outputs.
 #pragma once
 
 #include <deque>
@@ -35,10 +35,10 @@
     int client = 0;
     std::string bytes;
 };
-struct CloseClient {  // what was sent is written first
+struct CloseClient {  // closes the connection after all pending bytes have been written
     int client = 0;
 };
-struct SetClientPaused {  // reads no more from it for now
+struct SetClientPaused {  // stops or resumes reading from the client
     int client = 0;
     bool paused = false;
 };
@@ -62,10 +62,18 @@
 using Output = std::variant<SendToClient, CloseClient, SetClientPaused, OpenStoreConnection, SendToStore,
                             CloseStoreConnection, SendToAgent, WriteLog>;
 
-// What has happened since the start, for the log.
+// Counters since the start of the process. They are logged under these names.
 struct Counters {
+    // answered, promised, indoubt: statements that needed a store and ended with success, with an error
+    // other than INDOUBT, with INDOUBT. opened: connections to stores. outOfStep: connections closed because
+    // their responses no longer matched their queries. unproven: successful writes held back until known to
+    // be durable. deferred: writes that waited until the primary was settled.
     std::uint64_t sessions = 0, statements = 0, transactions = 0, answered = 0, promised = 0, indoubt = 0,
                   opened = 0, outOfStep = 0, unproven = 0, deferred = 0;
+    // own: queries of the proxy itself (SET, PARSE, RESET, STATUS, rollbacks, BEGIN around a guarded read).
+    // guarded: reads inside a transaction that proves the store to be primary. lagging: refusals by lagging
+    // replicas. leadNear to replicaFar: statements sent to a primary or replica inside (near) or outside
+    // (far) the proxy's district.
     std::uint64_t own = 0, guarded = 0, lagging = 0, leadNear = 0, leadFar = 0, replicaNear = 0,
                   replicaFar = 0;
 };
@@ -81,12 +89,13 @@
     void onStoreConnected(int connection, Nanos now);
     void onStoreLine(int connection, std::string_view text, Nanos now);
     void onStoreDisconnected(int connection, bool refused, Nanos now);
-    // The link to the agent: it is there, it is lost, it says something.
+    // The link to the agent was established, was lost, or delivered a message.
     void onAgentConnected(Nanos now);
     void onAgentDisconnected();
     void onAgentMessage(const Json& message, Nanos now);
     void tick(Nanos now);
-    // The process is told to end: sessions at rest are closed, transactions are given `half` to end.
+    // The process is to end: idle sessions are closed, and open transactions may finish within half
+    // the grace period.
     void beginShutdown(Nanos now);
     bool ready() const;
     bool drained() const { return shuttingDown_ && sessions_.empty(); }
@@ -109,7 +118,7 @@
         int connectionCount = 0;
         bool removed = false, probing = false;
         Nanos drainingSince = 0, lastReceivedAt = 0, suspectReportedAt = 0;
-        std::deque<int> waitingClients;  // clients whose statement waits for a line
+        std::deque<int> waitingClients;  // clients whose statement waits for a connection
     };
     struct Service {
         std::string name;
@@ -121,7 +130,7 @@
         ReplicaEvidence replicaEvidence;
         int syncReplicas = 0;
         Nanos lastUsedAt = 0;             // when a client's statement was last sent to one of its stores
-        std::deque<int> deferredClients;  // clients whose write waits until the lead is settled
+        std::deque<int> deferredClients;  // clients whose write waits until the primary is settled
         CommitHorizon commitHorizon;
         std::map<std::string, Store*> stores;
     };
@@ -134,36 +143,39 @@
     struct Session;
     struct StoreConnection {
         int id = 0;
-        std::string address;  // where it was opened; the store may have moved since
+        std::string address;  // where it was opened; the store's address may have changed since
         Store* store = nullptr;
         bool open = false, isProbe = false, closed = false;
         std::map<std::string, std::string> variables;
         std::set<std::string> preparedNames;
         Session* session = nullptr;  // whose statement or transaction it serves
-        bool inTransaction = false;  // the store holds a transaction of ours open
+        bool inTransaction = false;  // the store holds a transaction of this proxy open
         std::deque<ExchangeStep> expectedSteps;
         StoreResponseReader responseReader;
         Nanos sentAt = 0, lastUsedAt = 0, lastReceivedAt = 0, abandonedAt = 0;
-        // It was open while its service's lead was settled: its store has not started since.
+        // It was opened while its service's primary was settled, so its store has not restarted
+        // since.
         bool openedWhileSettled = false;
-        // A success of what it was asked last shows that the store had the lead when it was asked.
+        // If the last query succeeds, the store was the primary when the query was sent.
         bool provesPrimary = false;
     };
-    // The success of a write whose client was not told yet.
+    // A write that its store reported as successful and that has not been reported to its client yet,
+    // because it may not survive a failover.
     struct UnconfirmedWrite {
         Service* service = nullptr;
         StoreResponse response;
         AcknowledgedWrite write;
     };
-    // A statement in hand.
+    // A statement that is being processed.
     struct PendingStatement {
         Statement statement;
-        std::string key;  // by which Front knows it; empty: it goes to the line that the session is pinned to
-        std::string afterClause, text;  // as the store gets it
+        std::string key;  // the router's key for it; empty if it goes to the session's pinned connection,
+                          // without the router
+        std::string afterClause, text;  // as sent to the store
         std::string preparedName;
         int lane = 0, attempts = 0;
         bool writes = false, commit = false, guarded = false, sent = false, preparing = false;
-        bool deferred = false;  // a write that waits until the lead is settled
+        bool deferred = false;  // a write that waits until the primary is settled
         std::optional<UnconfirmedWrite> unconfirmed;
         Store* store = nullptr;
         StoreConnection* connection = nullptr;
@@ -171,17 +183,17 @@
         std::optional<Error> lastError;
         std::string lastErrorText;
     };
-    // One launch of a statement, as Front knows it; without a key it does not.
+    // One attempt of a statement, as the router knows it; without a key, the router does not know it.
     struct RoutedAttempt {
         std::string key;
         int number = 0;
         Nanos startedAt = 0;
     };
     struct OpenTransaction {
-        OpenTransaction() {}  // clang wants it before the class around it is whole
+        OpenTransaction() {}  // clang needs a constructor before the enclosing class is complete
         bool readOnly = false, begun = false;
-        bool writeSent = false;       // a write was sent
-        bool writeSucceeded = false;  // a write has succeeded
+        bool writeSent = false;
+        bool writeSucceeded = false;
         std::string beginId;
         Nanos receivedAt = 0;
         configuration::Route route;
@@ -195,7 +207,7 @@
         std::map<std::string, PreparedStatement> preparedStatements;
         std::optional<OpenTransaction> transaction;
         std::optional<PendingStatement> pending;
-        StoreConnection* connection = nullptr;  // pinned to
+        StoreConnection* connection = nullptr;  // the connection that its open transaction is pinned to
         std::optional<Mark> ownPosition;
         Nanos ownPositionAt = 0, idleSince = 0;
         std::deque<std::string> requestQueue;
@@ -274,20 +286,22 @@
     void onTransactionResponse(Session& session, StoreConnection& connection, const StoreResponse& response);
     void onSingleSucceeded(Session& session, StoreConnection& connection, const StoreResponse& response);
     void onSingleFailed(Session& session, StoreConnection& connection, const StoreResponse& response);
-    // The store's answer as the statement's final one.
+    // Sends the store's response to the client as the statement's final one.
     void replyToClient(Session& session, const StoreResponse& response, char state);
-    // The moment up to which an answer's position is known to cover all commits.
+    // The time up to which the response's position is known to cover all commits.
     std::optional<Nanos> commitsCoveredUntil(const Store& store, const StoreResponse& response) const;
-    // The connection's answers can't be matched to its questions any more.
+    // Closes a connection whose responses can no longer be matched to its queries. Using it further
+    // could give a session the response to another's query.
     void closeOutOfSync(StoreConnection& connection);
-    // What the line was asked for interests nobody any more; it serves others once it has answered.
+    // Detaches the session; the connection serves others once all its expected responses have
+    // arrived.
     void releaseConnection(StoreConnection& connection);
-    // The deadline of the session's statement, which is at that line, has passed.
+    // The deadline of the session's statement, which runs on this connection, has passed.
     void onDeadlineExceeded(Session& session, StoreConnection& connection);
     static RoutedAttempt attemptOf(const PendingStatement& pending) {
         return {pending.key, pending.attempts - 1, pending.attemptStartedAt};
     }
-    // Tells Front how a launch ended, and whether the statement has had its final answer.
+    // Reports an attempt's outcome to the router, and whether the statement has had its final response.
     void reportOutcome(const RoutedAttempt& attempt, Store& store, Ending outcome,
                        std::optional<Nanos> coveredUntil, bool finished);
     void reportLagging(Store& store, std::optional<Mark> position);
@@ -333,8 +347,8 @@
     std::deque<std::pair<std::string, std::string>> attemptQueue_;  // key, store
     std::deque<std::pair<std::string, int>> cancelQueue_;
     std::deque<std::string> probeQueue_, probed_;
-    std::set<int> unconfirmedClients_;  // clients whose write waits to be proven
-    std::deque<int> readyClients_;      // clients whose next statement may be taken
+    std::set<int> unconfirmedClients_;  // clients whose write is not known to be durable yet
+    std::deque<int> readyClients_;      // clients whose next request may be processed
     std::vector<int> closedConnections_;
     std::map<std::string, int> districtIndexes_;
     int lastConnectionId_ = 0, proxyCount_ = 1;
--- a/src/proxy/primary_evidence.cpp
+++ b/src/proxy/primary_evidence.cpp
@@ -18,8 +18,8 @@
 WriteDurability PrimaryEvidence::durabilityOf(const AcknowledgedWrite& write) const {
     if (write.term == term_)
         return isSettled(write.answeredAt) ? WriteDurability::durable : WriteDurability::undecided;
-    if (write.term > term_) return WriteDurability::undecided;  // the record of that term is still to come
-    // Only of the term right before is it known what the lead has.
+    if (write.term > term_) return WriteDurability::undecided;  // the record of that term has not arrived yet
+    // What the primary has retained is known only for the term right before its own.
     const bool retained = write.position && retained_ && retained_->term == write.position->term &&
                           *write.position <= *retained_;
     return retained ? WriteDurability::durable : WriteDurability::unknown;
--- a/src/proxy/primary_evidence.hpp
+++ b/src/proxy/primary_evidence.hpp
@@ -1,7 +1,9 @@
-// What a proxy knows of a service's lead, and whether the success of a write there may be told to its client.
-// A promotion counts what the replicas have received some time after its register was written, and a replica
-// that starts again meanwhile may receive more. So a success counts only if it came while no promotion can
-// have counted yet, or if the promoted store is known to have it. Free of I/O and clocks.
+// What a proxy knows of a service's primary, and whether it may report the success of a write there to
+// the client. A promotion compares what the replicas have received at some time after its register was
+// written, and a replica that restarts in between may receive more. So a success may be reported only if
+// it arrived while no promotion can have made that comparison yet, or if the promoted store is known to
+// have the write. Invariant: a write that was reported as successful is in the log of every later
+// primary; otherwise a failover would lose an acknowledged commit. Free of I/O and clocks.
 // docs/control-safety/promotion.md has the argument.
 #pragma once
 
@@ -13,27 +15,29 @@
 
 namespace granitereel::proxy {
 
-// A write that its store has acknowledged, and whose client was not told yet.
+// A write that its store has acknowledged, but that has not been reported to its client yet.
 struct AcknowledgedWrite {
-    std::optional<Mark> position;  // of the store's log behind the write
-    std::uint64_t term = 0;        // in which the store led
-    Nanos answeredAt = 0;          // when the answer came
+    std::optional<Mark> position;  // of the store's log after the write
+    std::uint64_t term = 0;        // in which the store was primary
+    Nanos answeredAt = 0;          // when the store's response was received
 };
 
-// What becomes of an acknowledged write.
+// Whether an acknowledged write survives failover.
 enum class WriteDurability {
-    durable,    // every later lead has it
-    undecided,  // a promotion may be passing it over
-    unknown,    // another store leads, and nothing shows that it has the write
+    durable,    // every later primary has it
+    undecided,  // a promotion that lacks it may be under way
+    unknown,    // another store is primary, and nothing shows that it has the write
 };
 
 class PrimaryEvidence {
 public:
-    // The record of the lead. `retained`: of the log of the lead before, what the present one had for certain
-    // when it was promoted. A new term ends what was granted for the one before.
+    // Applies the primary record. `retained`: the part of the previous primary's log that the present
+    // one certainly had when it was promoted. A new term discards the settled time granted for the
+    // previous one.
     void updateRecord(std::uint64_t term, std::optional<Mark> retained);
-    // A lease under which the recorded lead is settled runs until then: until then no promotion counts what
-    // the replicas have. It is never taken back, as leases aren't either.
+    // Extends the settled time: a lease under which the recorded primary is settled runs until
+    // `until`, and no promotion compares the replicas' logs before then. Like a lease, it is never
+    // shortened.
     void extendSettled(Nanos until);
     bool isSettled(Nanos now) const { return now < settledUntil_; }
     Nanos settledUntil() const { return settledUntil_; }
--- a/src/proxy/program.cpp
+++ b/src/proxy/program.cpp
@@ -17,7 +17,7 @@
 using transport::steadyNow;
 using transport::Stream;
 
-// A client that takes none of its answers is let go once so much waits for it.
+// A client that reads none of its responses is disconnected once this much is pending for it.
 constexpr std::size_t maxUnsentBytes = 4 * 1024 * 1024;
 constexpr Nanos countersLogInterval = millis(10'000);
 
@@ -92,10 +92,10 @@
                 counters.leadNear, counters.leadFar, counters.replicaNear, counters.replicaFar,
                 counters.unproven, counters.deferred);
         }
-        // New connections come for as long as the platform has not seen that this front leaves.
+        // New connections arrive until the platform has noticed that this proxy is shutting down.
         if (shutdownDeadline_ &&
             (now >= shutdownDeadline_ || (now - shutdownStartedAt_ > millis(2600) && pooler_.drained()))) {
-            spdlog::info("left");
+            spdlog::info("shutdown complete");
             return loop_.stop();
         }
         tickTimer_.expires_after(std::chrono::milliseconds(20));
@@ -104,7 +104,7 @@
         });
     }
 
-    // To the agent on this machine, over loopback, again and again until it is there.
+    // Connects to the agent on this machine over loopback, and retries until that succeeds.
     void connectToAgent() {
         auto connecting = std::make_shared<std::shared_ptr<Stream>>();
         auto reconnect = [this] {
@@ -153,7 +153,7 @@
                     else
                         pooler_.onClientLine(client, received.substr(consumed, end - consumed), now);
                 if (received.size() - consumed > maxMessageBytes) {
-                    pooler_.onClientLine(client, "", now);  // no such message: it is told so and let go
+                    pooler_.onClientLine(client, "", now);  // oversized: closed with an error
                     consumed = received.size();
                 }
                 performOutputs();
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -1,4 +1,6 @@
-// What makes a read safe: proof of the lead, or a position that a replica must hold (see docs/system.md).
+// The conditions under which a read is safe: proof that the store is primary, or a log position that a
+// replica must have applied. Invariant: a read sees every commit that was acknowledged before the time
+// its route demands (see docs/system.md).
 #include <algorithm>
 
 #include "proxy/pooler.hpp"
@@ -9,14 +11,14 @@
     return service.steady && lease_.valid(now_) && lease_.settles(service.name, service.seq);
 }
 
-// Whether the statement may run there, behind which position, and whether only with proof of the lead at
-// hand.
+// Whether the statement may run on the store, with which AFTER clause, and whether only inside a
+// transaction that proves the store to be primary (`guarded`).
 bool Pooler::mayRunOn(Session& session, Store& store, std::string& after, bool& guarded) {
     const PendingStatement& pending = *session.pending;
     guarded = false;
     after.clear();
     if (pending.writes || pending.commit || (session.transaction && !session.transaction->readOnly))
-        return true;  // the store itself refuses without the lead
+        return true;  // the store itself refuses these unless it is primary
     const configuration::Route* route =
         session.transaction ? &session.transaction->route : configuration_.route(session.database);
     if (!route) return false;
@@ -31,8 +33,9 @@
     const Nanos oldestAllowed = receivedAt - millis(route->staleness_ms);
     std::optional<Mark> requiredPosition = service.commitHorizon.positionCovering(oldestAllowed);
     if (route->mode == configuration::Mode::own && session.ownPosition) {
-        // A position of an earlier term may have been cut back with others' commits; this term's own cover
-        // it.
+        // A position of an earlier term may have been cut from the log together with others'
+        // commits, so it is not compared with this term's positions; those cover the session's
+        // own commits.
         if (session.ownPosition->term < service.term)
             requiredPosition = service.commitHorizon.positionCovering(oldestAllowed, service.term);
         else if (requiredPosition)
@@ -46,8 +49,8 @@
     return isPrimary;
 }
 
-// A replica that was tried on trust and lacks what was needed: the module asks again when it may have caught
-// up.
+// The replica was chosen optimistically and lacks the required position: the router uses it again when it may
+// have caught up.
 void Pooler::reportLagging(Store& store, std::optional<Mark> position) {
     ++counters_.lagging;
     const std::optional<Nanos> coveredUntil =
--- a/src/proxy/replica_checks.cpp
+++ b/src/proxy/replica_checks.cpp
@@ -1,5 +1,5 @@
-// Writes whose success no lease lets be told: the replicas are asked whether they have them, over connections
-// that were open while the lead was settled.
+// Writes that no lease allows to be reported as successful yet: the replicas are queried whether they
+// have them, over connections that were opened while the primary was settled.
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,9 @@
 
 namespace granitereel::proxy {
 
-// Whether the record of the lead is young enough to name every replica whose row could be all that a planned
-// change rests on.
+// Whether the primary record is recent enough to name every replica whose status a planned change of
+// primary may rely on. If a replica were missing, it could be promoted without the write, and an
+// acknowledged commit would be lost.
 bool Pooler::replicaListIsCurrent(const Service& service) const {
     return now_ < service.primaryEvidence.settledUntil() + board::recordsRestedOnFor;
 }
@@ -22,7 +23,7 @@
            service.replicaEvidence.allHave(*unconfirmed.write.position, service.syncReplicas);
 }
 
-// One question to each replica covers all that waits: the highest position among it is asked for.
+// One query per replica covers all unconfirmed writes: it checks for the highest position among them.
 void Pooler::queryReplicas() {
     for (auto& [name, service] : services_) openReplicaCheckConnections(*service);
     std::map<Service*, Mark> highest;
@@ -44,7 +45,8 @@
     }
 }
 
-// The lease is late: while it still runs each replica gets the connection that may be needed behind its end.
+// The lease's renewal is late: while the lease still runs, each replica gets the connection that may be
+// needed after it ends, since a connection opened later proves nothing.
 void Pooler::openReplicaCheckConnections(Service& service) {
     const bool leaseExpiring = service.primaryEvidence.isSettled(now_) &&
                                !service.primaryEvidence.isSettled(now_ + leaseExpiryWarning);
@@ -64,7 +66,8 @@
     }
 }
 
-// An idle connection that may show what the replica has, unless one is being asked already.
+// Returns an idle connection that was opened while the primary was settled; nullptr if there is none or a
+// status query is already under way.
 Pooler::StoreConnection* Pooler::findReplicaCheckConnection(const Store& replica) const {
     for (const auto& [connectionId, connection] : connections_) {
         const bool querying =
--- a/src/proxy/replica_evidence.hpp
+++ b/src/proxy/replica_evidence.hpp
@@ -1,8 +1,10 @@
-// Proof, without control, that a write is kept: every replica on record has received it. Whatever store is
-// promoted next then has it, too, as the rows that a promotion rests on are taken of replicas that stand
-// still. Only what a replica says on a connection counts that was open while the lead was settled: so it has
-// not started since, and a pause for the promotion under way, if it has come already, still holds. Free of
-// I/O and clocks. docs/control-safety/promotion.md has the argument.
+// Proof, without control, that a write is durable: every recorded replica has received it. Any store that
+// is promoted next then has it, too, because a promotion relies on statuses that are taken while the
+// replicas receive nothing. Only statuses read on a connection that was opened while the primary was
+// settled count: the replica has not restarted since then, so if it has already been paused for a
+// promotion under way, the pause still holds. Without this rule, a restarted replica could report a write
+// that it received after the promotion had counted without it, and the write would be reported as
+// successful and then lost. Free of I/O and clocks. docs/control-safety/promotion.md has the argument.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +20,16 @@
 
 class ReplicaEvidence {
 public:
-    // The record of the lead. A new term ends what replicas said in the one before.
+    // Applies the primary record. A new term discards the statuses reported in the previous one.
     void updateRecord(std::uint64_t term, std::set<std::string> replicas);
     const std::set<std::string>& replicas() const { return replicas_; }
-    // What a replica said on a connection that was open while the lead was settled.
+    // Records a status that the replica reported on a connection opened while the primary was
+    // settled.
     void recordStatus(const std::string& replica, const StoreRow& status);
-    // Whether each replica on record, and as many as are synchronous, has received the position in its term.
+    // Whether every recorded replica, and at least as many as are synchronous, has received the
+    // position in its term.
     bool allHave(const Mark& position, int syncReplicas) const;
-    // Whether a replica is still to be asked about the position.
+    // Whether the replica is not known to have the position and still has to be queried.
     bool mayLack(const std::string& replica, const Mark& position) const;
 
 private:
--- a/src/proxy/sessions.cpp
+++ b/src/proxy/sessions.cpp
@@ -1,4 +1,4 @@
-// Clients' sessions: what they say, one statement at a time, and what needs no store.
+// Clients' sessions: their requests, processed one at a time, and the statements that need no store.
 #include <utility>
 
 #include "proxy/pooler.hpp"
@@ -42,7 +42,7 @@
     drainWorkQueues();
 }
 
-// The session is over, whatever it had open.
+// Ends the session and whatever it had open.
 void Pooler::removeSession(int client) {
     const auto found = sessions_.find(client);
     if (found == sessions_.end()) return;
@@ -146,7 +146,8 @@
             session.transaction->beginId = statement.id;
             session.transaction->receivedAt = now_;
             session.transaction->route = *route;
-            // It begins at a store with its first statement: until then it holds no connection.
+            // It begins on a store with its first statement; until then it holds no
+            // connection.
             return replyLocally(session, done, 'T');
         }
         case Kind::abort:
@@ -176,7 +177,7 @@
     replyLocally(session, formatError(error, text), state);
 }
 
-// The session's transaction is over: rolled back at the store, or never begun there.
+// The session's transaction has ended: committed or rolled back by the store, or never begun there.
 void Pooler::endTransaction(Session& session) {
     session.transaction.reset();
     session.connection = nullptr;
--- a/src/proxy/statement_exchange.cpp
+++ b/src/proxy/statement_exchange.cpp
@@ -1,5 +1,5 @@
-// What is asked over a connection for a statement, and what each answer means: first what makes the
-// connection right for the session, then BEGIN where one is due, then the statement.
+// The queries that a statement needs on a connection, and the handling of each response: first the
+// queries that set up the connection for the session, then BEGIN if one is needed, then the statement.
 #include <utility>
 
 #include "proxy/pooler.hpp"
@@ -16,8 +16,7 @@
     outputs_.push_back(SendToStore{connection.id, std::move(bytes)});
 }
 
-// Makes the connection right for the session, begins its transaction there if need be, then sends the
-// statement.
+// Sets up the connection for the session, begins its transaction if necessary, then sends the statement.
 void Pooler::prepareConnection(Session& session, StoreConnection& connection) {
     PendingStatement& pending = *session.pending;
     connection.store->idleConnections.erase(connection.id);
@@ -64,9 +63,9 @@
     }
 }
 
-// Begins what the statement runs in, behind the position `after`: the session's transaction, or one of our
-// own around a single read that needs proof of the lead. A single statement else goes behind the position
-// itself.
+// Begins the transaction that the statement runs in, at the position that the AFTER clause `after`
+// demands: the session's transaction, or a transaction of the proxy's own around a single read that needs
+// proof that the store is primary. Any other single statement carries the AFTER clause itself.
 void Pooler::beginOnStore(Session& session, StoreConnection& connection, const std::string& after) {
     PendingStatement& pending = *session.pending;
     if (pending.guarded) {
@@ -91,7 +90,7 @@
 
 void Pooler::sendStatement(Session& session, StoreConnection& connection) {
     PendingStatement& pending = *session.pending;
-    // A process that stood still may have come here late.
+    // A process that was suspended may get here past the deadline.
     if (now_ >= pending.deadline) return onDeadlineExceeded(session, connection);
     pending.preparing = false;
     pending.sent = true;
@@ -99,8 +98,10 @@
     Service& service = *connection.store->service;
     service.lastUsedAt = now_;
     countDestination(*connection.store);
-    // A store that has lost the lead refuses what it is asked inside a plain transaction, but for the COMMIT
-    // of one that wrote nothing.
+    // A store that is no longer primary refuses every query inside a read-write transaction, except
+    // the COMMIT of one that wrote nothing. So a success proves that the store was primary. Without
+    // that proof its position must not enter the commit horizon: it could miss acknowledged commits,
+    // and reads that rely on it would be stale.
     const bool refusedByOthers =
         !pending.commit && (pending.guarded || (session.transaction && !session.transaction->readOnly));
     connection.provesPrimary =
@@ -113,13 +114,14 @@
     Session* session = connection.session;
     connection.inTransaction = response.state != 'I';
     if (step == ExchangeStep::status) return onStatusResponse(connection, response);
-    // Its values or names are not as they ought to be, or it still holds what it was to roll back: it serves
-    // nobody any more, whoever asked.
+    // Its variables or prepared statements are not as required, or it still holds a transaction that
+    // was to be rolled back. No session may use it any more: its statements would run with another
+    // session's state.
     if (step == ExchangeStep::setup && response.error) return closeOutOfSync(connection);
     if (step == ExchangeStep::rollback && connection.inTransaction) return closeOutOfSync(connection);
     if (step == ExchangeStep::begin && !response.error && response.state != 'T')
         return closeOutOfSync(connection);
-    if (!session) {  // nobody waits for it any more
+    if (!session) {  // no session waits for the response
         if (!connection.expectedSteps.empty()) return;
         connection.abandonedAt = 0;
         return releaseConnection(connection);
@@ -136,7 +138,7 @@
 }
 
 namespace {
-// What an error that promises that nothing ran says of its store.
+// The outcome that the router is told for an error which guarantees that the statement did not run.
 Ending endingOf(Error error) {
     return error == Error::busy || error == Error::full ? Ending::full : Ending::missed;
 }
@@ -163,7 +165,7 @@
                                  const StoreResponse& response) {
     const PendingStatement& pending = *session.pending;
     const bool succeeded = !response.error;
-    // Only COMMIT ends a transaction with success.
+    // Only COMMIT may end a transaction with success.
     if (succeeded && session.transaction && !pending.commit && response.state == 'I')
         return closeOutOfSync(connection);
     if (succeeded && session.transaction && pending.writes) session.transaction->writeSucceeded = true;
@@ -211,7 +213,7 @@
     releaseConnection(connection);
 }
 
-// Nothing ran: another store may do better, or this one later.
+// The statement did not run: another store may run it, or this one later.
 void Pooler::onStatementNotRun(Session& session, StoreConnection& connection, const StoreResponse& response) {
     PendingStatement& pending = *session.pending;
     Store& store = *connection.store;
@@ -235,7 +237,7 @@
     Store& store = *connection.store;
     const std::optional<Nanos> coveredUntil = commitsCoveredUntil(store, response);
     const RoutedAttempt attempt = attemptOf(*session.pending);
-    const bool endedByStore = response.state == 'I';  // by the store
+    const bool endedByStore = response.state == 'I';
     if (endedByStore) {
         endTransaction(session);
         connection.session = nullptr;
@@ -262,7 +264,7 @@
     releaseConnection(connection);
 }
 
-// Of a read Front may try again; of a write this is the answer.
+// The router may retry a read; for a write, the error is the final response, because the write may have run.
 void Pooler::onSingleFailed(Session& session, StoreConnection& connection, const StoreResponse& response) {
     PendingStatement& pending = *session.pending;
     Store& store = *connection.store;
--- a/src/proxy/statements.cpp
+++ b/src/proxy/statements.cpp
@@ -1,5 +1,5 @@
-// A statement that needs a store, from its lane to its one final answer: where Front sends it, and how it
-// ends when no store answers.
+// A statement that needs a store, from its transaction class to its one final response: the attempts that
+// the router starts, and the outcome if no store responds.
 #include <algorithm>
 #include <utility>
 
@@ -23,7 +23,7 @@
     lane.goalTime = millis(route.target_ms);
     lane.cutOff = millis(route.deadline_ms);
     lane.bound = millis(route.staleness_ms);
-    // Only order and ratio count: each step of precedence halves what is earned.
+    // Only the order and the ratio of gains matter: each step of precedence halves the gain.
     lane.gain = 4.0 / double(1 << std::min(route.precedence, 8));
     lane.lateShare = 0.3;
     lane.name = std::to_string(static_cast<int>(lane.need)) + "/" +
@@ -156,7 +156,7 @@
         std::erase(session.pending->store->waitingClients, session.client);
 }
 
-// The statement's final answer is its last error.
+// Sends the last error to the client as the statement's final response.
 void Pooler::replyWithLastError(Session& session) {
     const Error error = *session.pending->lastError;
     const std::string text = session.pending->lastErrorText;
@@ -165,7 +165,7 @@
     removeFromWaiting(session);
     const bool commit = session.pending->commit;
     session.pending.reset();
-    // The store still holds it.
+    // The store still holds the transaction open.
     if (session.transaction && session.connection)
         releaseConnection(*std::exchange(session.connection, nullptr));
     if (session.transaction) session.transaction->begun = false;
@@ -174,7 +174,9 @@
     readyClients_.push_back(session.client);
 }
 
-// Nothing is kept of a read, nor of what was not sent; nor of a transaction that was not asked to commit.
+// Nothing is kept of a read, of a statement that was not sent, or of a transaction that was not asked to
+// commit, so the client may be told to retry. A write or COMMIT that was sent may have run: reporting it
+// as not run would let the client run it twice.
 void Pooler::onDeadlineExceeded(Session& session, StoreConnection& connection) {
     PendingStatement& pending = *session.pending;
     if (session.transaction || (pending.writes && pending.sent)) {
@@ -189,7 +191,9 @@
     reportOutcome(attempt, *connection.store, Ending::timedOut, {}, true);
 }
 
-// The connection under a session is gone, and with it whatever the store held for it that was not committed.
+// The session's connection is gone, and with it whatever the store held for the session that was not
+// committed. The outcome of a COMMIT that was sent for a transaction with writes is unknown and reported
+// as INDOUBT: any other response could make the client repeat a commit, or rely on one that was lost.
 void Pooler::onConnectionLost(Session& session, StoreConnection& connection, Ending outcome) {
     connection.session = nullptr;
     Store& store = *connection.store;
--- a/src/proxy/store_connections.cpp
+++ b/src/proxy/store_connections.cpp
@@ -1,12 +1,13 @@
-// Connections to stores: opened, lent to a statement or a transaction, cleaned, closed.
+// Connections to stores: opened, lent to a statement or a transaction, rolled back, closed.
 #include <utility>
 
 #include "proxy/pooler.hpp"
 
 namespace granitereel::proxy {
 
-// The idle connection that needs least to be made right; where all need much, and there may be more, a new
-// one.
+// Returns the idle connection that needs the fewest queries to match the session's variables and prepared
+// statement; nullptr if there is none. A new connection is then opened if the share of connection slots
+// allows.
 Pooler::StoreConnection* Pooler::acquireConnection(Session& session, Store& store) {
     StoreConnection* best = nullptr;
     int lowestCost = 0;
@@ -72,7 +73,7 @@
     if (!connection.open) {
         onGreetingReply(connection, text);
     } else if (connection.expectedSteps.empty()) {
-        closeOutOfSync(connection);  // nothing was asked
+        closeOutOfSync(connection);  // no query was sent
     } else {
         switch (connection.responseReader.addLine(text)) {
             case StoreResponseReader::Progress::partial:
@@ -145,7 +146,8 @@
         returnToPool(connection);
 }
 
-// Rolls back what the store holds for nobody any more; the line serves others once that is done.
+// Rolls back the transaction that the store holds open for no session any more; the connection serves
+// others afterwards.
 void Pooler::rollBackAndRelease(StoreConnection& connection, const std::string& statementId) {
     connection.session = nullptr;
     connection.abandonedAt = now_;
@@ -179,13 +181,14 @@
         if (found == sessions_.end() || !found->second->pending || found->second->pending->store != &store ||
             found->second->pending->connection)
             continue;
-        // Not from here: an answer may be in the middle of being taken apart.
+        // A store's response may still be in processing: the router's further requests are only queued
+        // here.
         StoreConnection* connection = acquireConnection(*found->second, store);
         prepareConnection(*found->second, *connection);
     }
 }
 
-// No connection could be had for those who wait for one there.
+// Fails the attempts of all clients that wait for a connection to the store.
 void Pooler::failWaitingClients(Store& store, Ending outcome) {
     for (const int client : std::exchange(store.waitingClients, {})) {
         const auto found = sessions_.find(client);
--- a/src/proxy/store_response.hpp
+++ b/src/proxy/store_response.hpp
@@ -1,6 +1,6 @@
-// Reads a store's answer to one question line by line and checks its form: any number of ROW, then DONE or
-// ERROR, then READY. The wire gives answers no number, so one in another form means that this connection's
-// answers can no longer be matched to its questions. Free of I/O.
+// Parses a store's response to one query line by line and checks its form: any number of ROW lines, then
+// DONE or ERROR, then READY. The protocol gives responses no number, so a response of another form means
+// that the responses on this connection can no longer be matched to their queries. Free of I/O.
 #pragma once
 
 #include <optional>
@@ -13,21 +13,21 @@
 namespace granitereel::proxy {
 
 struct StoreResponse {
-    std::string rows;  // as they came, each with its CR LF
+    std::string rows;  // as received, each with its CR LF
     std::string done;  // "DONE stamp\r\n"; empty where there is an error
     std::optional<Error> error;
     std::string errorText;
-    char state = 'I';  // I, T or E
+    char state = 'I';  // transaction state: I (none), T (open) or E (failed)
     std::optional<Mark> position;
 };
 
 class StoreResponseReader {
 public:
     enum class Progress { partial, complete, malformed };
-    // A line without its CR LF. After `whole` the answer is to be taken; after `malformed` nothing more of
-    // the connection is to be believed.
+    // Takes a line without its CR LF. After `complete`, the response must be fetched by
+    // takeResponse(). After `malformed`, nothing more that arrives on the connection may be used.
     Progress addLine(std::string_view line);
-    // The whole answer; the reader begins anew.
+    // Returns the complete response and resets the reader for the next one.
     StoreResponse takeResponse();
 
 private:
@@ -35,7 +35,8 @@
     StoreResponse response_;
 };
 
-// The state and position of a READY line, `rest` being what follows the word; false: not of that form.
+// Parses the state and log position of a READY line, `rest` being what follows the word. Returns false if
+// it is malformed.
 bool parseReady(std::string_view rest, StoreResponse& response);
 
 }  // namespace granitereel::proxy
--- a/src/proxy/timing.hpp
+++ b/src/proxy/timing.hpp
@@ -1,4 +1,4 @@
-// Times and limits of the proxy's state machine that no setting gives.
+// Timeouts and limits of the proxy's state machine that are not settings.
 #pragma once
 
 #include <cstddef>
@@ -7,31 +7,33 @@
 
 namespace granitereel::proxy {
 
-// Among tries that nothing ran of: enough to pass a store that lags, one that has lost the lead and one that
-// is full.
+// Attempts per statement that a store refused without running it: enough to get past one store that lags,
+// one that is no longer primary and one that is full.
 inline constexpr int maxAttempts = 8;
-// A client that must come back is told to do so after this.
+// How long a rejected client is told to wait before it retries.
 inline constexpr int retryAdvice_ms = 100;
-// Three questions for the lease fit into one.
+// Three lease requests fit into one lease.
 inline constexpr Nanos leaseRequestInterval = millis(200);
-// A proxy that has a configuration says that it is ready without a lease after this.
+// A proxy that has a configuration reports itself ready without a lease after this.
 inline constexpr Nanos maxFirstLeaseWait = millis(1'000);
-// Where less than this is left of the last lease, it is late, and connections to replicas are opened while it
-// runs: a process that asks in time has more.
+// If less than this is left of the current lease, its renewal is late, and connections to replicas are
+// opened while it still runs. A process that renews in time always has more left.
 inline constexpr Nanos leaseExpiryWarning = millis(400);
-// A service that was asked for something within this is worth connections that only show what its replicas
-// have.
+// Connections that serve only to query replicas' statuses are opened only for a service that was used
+// within this time.
 inline constexpr Nanos recentUseWindow = millis(10'000);
 inline constexpr Nanos sweepInterval = millis(50);
-// A lead that is asked and says nothing for so long is told to control, again after as long.
+// A primary that does not answer a query for this long is reported to control, and again after each
+// further interval of this length.
 inline constexpr Nanos storeSilenceLimit = millis(250);
-// A connection that does not open, or whose answer nobody waits for, is given up after this.
+// A connection that does not open in time, or whose response no session waits for and that does not
+// arrive in time, is closed.
 inline constexpr Nanos connectTimeout = millis(1'500), abandonedTimeout = millis(4'000);
-// A connection at rest is closed after this.
 inline constexpr Nanos idleConnectionTimeout = millis(25'000);
-// Until the platform has stopped sending new connections: two ready probes a second apart, and some.
+// How long new connections may still arrive after shutdown begins: the platform stops sending them after
+// two readiness probes a second apart, plus a margin.
 inline constexpr Nanos minShutdownDelay = millis(2'200);
-// Bytes of a session's statements that may wait; beyond, nothing more is read from it.
+// Bytes of a session's queued statements beyond which the proxy stops reading from the client.
 inline constexpr std::size_t maxQueuedBytes = 1 << 20;
 
 }  // namespace granitereel::proxy
--- a/src/proxy/write_acknowledgement.cpp
+++ b/src/proxy/write_acknowledgement.cpp
@@ -1,5 +1,7 @@
-// Successes of writes: told at once where every later lead has the write, else kept until that is known; and
-// writes that wait while the lead is known to be changing, as their successes could not be told.
+// Successful writes are reported to the client at once if every later primary has them; otherwise the
+// response is held back until that is known. Reporting one earlier could acknowledge a commit that a
+// failover then loses. Also, writes that wait while the primary is known to be changing, because their
+// success could not be reported.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +9,7 @@
 
 namespace granitereel::proxy {
 
-// The store has answered a write or the COMMIT of one with success.
+// Handles a store's success response to a write, or to the COMMIT of a transaction that wrote.
 void Pooler::acknowledgeWrite(Session& session, Service& service, const StoreResponse& response) {
     UnconfirmedWrite unconfirmed{
         &service,
@@ -26,7 +28,7 @@
     unconfirmedClients_.insert(session.client);
 }
 
-// What has become known of a lead, or the time that has passed, may decide those that wait.
+// Decides held-back writes by new knowledge about the primary and by their deadlines.
 void Pooler::resolveUnconfirmedWrites() {
     for (const int client : std::set<int>(unconfirmedClients_)) {
         const auto found = sessions_.find(client);
@@ -52,8 +54,8 @@
     }
 }
 
-// Whether what is written there now could not be told as a success: the lead is known to be changing, and no
-// lease says that the change has not begun to count.
+// Whether the success of a write sent now could not be reported: the primary is known to be changing, and
+// no lease guarantees that the promotion has not compared the replicas' logs yet.
 bool Pooler::mustDeferWrites(const Service& service) const {
     return !service.steady && !service.primaryEvidence.isSettled(now_);
 }
@@ -64,7 +66,8 @@
     service.deferredClients.push_back(session.client);
 }
 
-// The lead is settled again, or another: what waited goes on, there or elsewhere.
+// If the primary is settled again or another store is primary, the waiting writes go on, there or
+// elsewhere.
 void Pooler::resumeDeferredWrites(Service& service) {
     if (mustDeferWrites(service)) return;
     for (const int client : std::exchange(service.deferredClients, {})) {
