--- a/src/proxy/agent_updates.cpp
+++ b/src/proxy/agent_updates.cpp
@@ -140,8 +140,7 @@
     updateRouterState(store);
 }
 
-// A draining primary is still used for writes until its successor takes over, as long as the drain time
-// allows.
+// A draining primary stays in use until its successor takes over, as long as the drain time allows.
 void Pooler::updateRouterState(Store& store) {
     Service& service = *store.service;
     Standing state = store.removed         ? Standing::removed
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -152,6 +152,7 @@
         bool inTransaction = false;  // the store holds a transaction of this proxy open
         std::deque<ExchangeStep> expectedSteps;
         StoreResponseReader responseReader;
+        // abandonedAt: since when no session waits for its responses; 0 if one does or none are due.
         Nanos sentAt = 0, lastUsedAt = 0, lastReceivedAt = 0, abandonedAt = 0;
         // It was opened while its service's primary was settled, so its store has not restarted
         // since.
@@ -174,6 +175,8 @@
         std::string afterClause, text;  // as sent to the store
         std::string preparedName;
         int lane = 0, attempts = 0;
+        // guarded: a read inside a transaction of the proxy's own, whose success proves that the store is
+        // primary.
         bool writes = false, commit = false, guarded = false, sent = false, preparing = false;
         bool deferred = false;  // a write that waits until the primary is settled
         std::optional<UnconfirmedWrite> unconfirmed;
@@ -208,6 +211,7 @@
         std::optional<OpenTransaction> transaction;
         std::optional<PendingStatement> pending;
         StoreConnection* connection = nullptr;  // the connection that its open transaction is pinned to
+        // The log position of its last write and when that was sent: reads on routes of mode `own` see it.
         std::optional<Mark> ownPosition;
         Nanos ownPositionAt = 0, idleSince = 0;
         std::deque<std::string> requestQueue;
--- a/src/proxy/replica_checks.cpp
+++ b/src/proxy/replica_checks.cpp
@@ -23,7 +23,8 @@
            service.replicaEvidence.allHave(*unconfirmed.write.position, service.syncReplicas);
 }
 
-// One query per replica covers all unconfirmed writes: it checks for the highest position among them.
+// One status query per replica serves all unconfirmed writes: it is sent while the replica is not known to
+// have the highest position among them.
 void Pooler::queryReplicas() {
     for (auto& [name, service] : services_) openReplicaCheckConnections(*service);
     std::map<Service*, Mark> highest;
