--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -1,56 +1,61 @@
-// What makes a read safe: proof of the lead, or a position that a replica must hold (see docs/system.md).
+// The conditions under which a read is safe: proof that the store is primary, or a log position that a
+// replica must have applied. Invariant: a read sees every commit that was acknowledged before the time
+// its route demands (see docs/system.md).
 #include <algorithm>
 
 #include "proxy/pooler.hpp"
 
 namespace granitereel::proxy {
 
-bool Pooler::provable(const Service& of) const {
-    return of.steady && lease_.valid(now_) && lease_.isSettled(of.name, of.seq);
+bool Pooler::primaryIsConfirmed(const Service& service) const {
+    return service.steady && lease_.valid(now_) && lease_.isSettled(service.name, service.seq);
 }
 
-// Whether the statement may run there, behind which position, and whether only with proof of the lead at
-// hand.
-bool Pooler::safe(Session& s, Store& store, std::string& after, bool& guarded) {
-    const Op& op = *s.op;
+// Whether the statement may run on the store, with which AFTER clause, and whether only inside a
+// transaction that proves the store to be primary (`guarded`).
+bool Pooler::mayRunOn(Session& session, Store& store, std::string& after, bool& guarded) {
+    const PendingStatement& pending = *session.pending;
     guarded = false;
     after.clear();
-    if (op.writes || op.commit || (s.tx && !s.tx->readOnly))
-        return true;  // the store itself refuses without the lead
-    const configuration::Route* route = s.tx ? &s.tx->route : configuration_.route(s.database);
+    if (pending.writes || pending.commit || (session.transaction && !session.transaction->readOnly))
+        return true;  // the store itself refuses these unless it is primary
+    const configuration::Route* route =
+        session.transaction ? &session.transaction->route : configuration_.route(session.database);
     if (!route) return false;
-    const Service& of = *store.service;
-    const bool leads = of.lead == store.id;
-    if (leads && provable(of)) return true;
+    const Service& service = *store.service;
+    const bool isPrimary = service.primary == store.id;
+    if (isPrimary && primaryIsConfirmed(service)) return true;
     if (route->mode == configuration::ReadMode::primary) {
         guarded = true;
-        return leads;
+        return isPrimary;
     }
-    const Nanoseconds came = s.tx ? s.tx->came : op.came;
-    const Nanoseconds since = came - milliseconds(route->staleness_ms);
-    std::optional<Mark> need = of.horizon.covering(since);
-    if (route->mode == configuration::ReadMode::ownWrites && s.own) {
-        // A position of an earlier term may have been cut back with others' commits; this term's own cover
-        // it.
-        if (s.own->term < of.term)
-            need = of.horizon.covering(since, of.term);
-        else if (need)
-            need = std::max(*need, *s.own);
+    const Nanoseconds receivedAt = session.transaction ? session.transaction->receivedAt : pending.receivedAt;
+    const Nanoseconds oldestAllowed = receivedAt - milliseconds(route->staleness_ms);
+    std::optional<Mark> requiredPosition = service.commitHorizon.positionCovering(oldestAllowed);
+    if (route->mode == configuration::ReadMode::ownWrites && session.ownPosition) {
+        // A position of an earlier term may have been cut from the log together with others'
+        // commits, so it is not compared with this term's positions; those cover the session's
+        // own commits.
+        if (session.ownPosition->term < service.term)
+            requiredPosition = service.commitHorizon.positionCovering(oldestAllowed, service.term);
+        else if (requiredPosition)
+            requiredPosition = std::max(*requiredPosition, *session.ownPosition);
     }
-    if (need) {
-        after = "AFTER " + written(*need) + " ";
+    if (requiredPosition) {
+        after = "AFTER " + written(*requiredPosition) + " ";
         return true;
     }
     guarded = true;
-    return leads;
+    return isPrimary;
 }
 
-// A replica that was tried on trust and lacks what was needed: the module asks again when it may have caught
-// up.
-void Pooler::lags(Store& store, std::optional<Mark> mark) {
-    ++counts_.lagging;
-    const std::optional<Nanoseconds> position = mark ? store.service->horizon.holds(*mark) : std::nullopt;
-    front_.storeLags(store.id, position.value_or(1));
+// The replica was chosen optimistically and lacks the required position: the router uses it again when it may
+// have caught up.
+void Pooler::reportLagging(Store& store, std::optional<Mark> position) {
+    ++counters_.lagging;
+    const std::optional<Nanoseconds> coveredUntil =
+        position ? store.service->commitHorizon.coveredUntil(*position) : std::nullopt;
+    router_.storeLags(store.id, coveredUntil.value_or(1));
 }
 
 }  // namespace granitereel::proxy
