--- a/src/control/call_router.hpp
+++ b/src/control/call_router.hpp
@@ -20,8 +20,8 @@
 class CallRouter {
 public:
     // What is needed of the member.
-    struct Means {
-        virtual ~Means() = default;
+    struct Host {
+        virtual ~Host() = default;
         virtual bool leased(Nanos now) const = 0;
         // Whether the member was told to end, and takes no more calls.
         virtual bool leaving() const = 0;
@@ -31,39 +31,39 @@
         virtual std::string stateText(Nanos now) const = 0;
         virtual void toCaller(ToCaller answer) = 0;
     };
-    CallRouter(Means& means, StoreRegistry& stores, OperatorCalls& operators)
-        : means_(means), stores_(stores), operators_(operators) {}
+    CallRouter(Host& host, StoreRegistry& stores, OperatorCalls& operators)
+        : host_(host), stores_(stores), operators_(operators) {}
 
     // A call: the path by segments. Every call is answered once, within `answeredWithin` and a tick.
     void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
               const std::string& body, Nanos now);
     // The final answer, or the way to a member that has a majority where this one hasn't.
-    void answerOrSendOn(std::uint64_t call, Kind kind, std::string body, Nanos now);
+    void answerOrRedirect(std::uint64_t call, Kind kind, std::string body, Nanos now);
     // Runs what waited for the lease, and ends what waited for too long.
-    void serveWaiting(Nanos now);
+    void runWaitingCalls(Nanos now);
     // Whether no call is under way.
-    bool idle() const { return open_.empty(); }
+    bool idle() const { return openCalls_.empty(); }
     Contacts& contacts() { return contacts_; }
 
     // Callers wait a second; with a tick of 50 ms and the way this is within it.
-    static constexpr Nanos answeredWithin = millis(850);
+    static constexpr Nanos maxAnswerTime = millis(850);
 
 private:
     struct OpenCall {
-        std::string path;  // as it was called
-        Nanos until = 0;   // the latest moment of its answer
+        std::string path;    // as it was called
+        Nanos deadline = 0;  // the latest moment of its answer
     };
     void answer(std::uint64_t call, Kind kind, std::string body = {});
-    void storeCalled(std::uint64_t call, const std::string& id, const std::string& body, Nanos now);
-    void configSent(std::uint64_t call, const std::string& body, Nanos now);
-    void whenLeased(std::uint64_t call, std::function<void(Nanos now, Nanos until)> run, Nanos now);
+    void putStore(std::uint64_t call, const std::string& id, const std::string& body, Nanos now);
+    void putConfiguration(std::uint64_t call, const std::string& body, Nanos now);
+    void runUnderLease(std::uint64_t call, std::function<void(Nanos now, Nanos deadline)> run, Nanos now);
 
-    Means& means_;
+    Host& host_;
     StoreRegistry& stores_;
     OperatorCalls& operators_;
     Contacts contacts_;
     WaitingCalls waiting_;
-    std::map<std::uint64_t, OpenCall> open_;
+    std::map<std::uint64_t, OpenCall> openCalls_;
 };
 
 }  // namespace granitereel::control
--- /dev/null
+++ b/src/control/failover_replicas.cpp
@@ -0,0 +1,164 @@
+// Who is on record of a lead: replicas that come, that are young, that leave and are released, and the
+// addresses at which their logs pass on.
+#include <algorithm>
+
+#include "control/failover.hpp"
+
+namespace granitereel::control {
+
+namespace {
+// A store that has left ends within this: it waits no longer for its call's answer.
+constexpr Nanos shutdownTime = millis(1000);
+// How often it is looked whether those that stay have what one that left had.
+constexpr Nanos releaseCheckInterval = millis(500);
+// How often it is looked which replicas are young.
+constexpr Nanos ageUpdateInterval = millis(1000);
+// Of this many released replicas it is kept where their logs pass on; beyond, their heirs are young.
+constexpr std::size_t maxVacatedAddresses = 16;
+}  // namespace
+
+std::string Failover::addressOf(const std::string& store, const PrimaryRecord& primary) const {
+    if (const Json* body = storeRecord(store)) return body->value("address", "");
+    const auto recorded = primary.addresses.find(store);
+    return recorded != primary.addresses.end() ? recorded->second : "";
+}
+
+// A store that crashed may be back at its address, with its log, under another name, and its record under the
+// former one stands. Of two names at the lead's address either may be the present one; both mean the lead's
+// own log.
+bool Failover::isPrimaryOrAlias(const std::string& store, const PrimaryRecord& primary) const {
+    if (store == primary.store) return true;
+    const Json* body = storeRecord(primary.store);
+    const std::string address = addressOf(store, primary);
+    return body && !address.empty() && body->value("address", "") == address;
+}
+
+std::map<std::string, std::string> Failover::addressesOf(const std::set<std::string>& stores,
+                                                         const PrimaryRecord& before) const {
+    std::map<std::string, std::string> result;
+    for (const std::string& store : stores)
+        if (storeRecord(store) || before.addresses.count(store)) result[store] = addressOf(store, before);
+    return result;
+}
+
+bool Failover::hasLeft(const std::string& store) const {
+    const board::Record* entry = host_.board().find("store/" + store);
+    return entry && entry->body.is_null();
+}
+
+// Who belongs to the service is kept with the lead, as after a loss only that tells who must be heard. One
+// that the registry lacks may only not have called yet; one that left may have the only copy of a commit:
+// both stay, until release().
+void Failover::updateReplicas(const PrimaryRecord& primary, Nanos now) {
+    std::set<std::string> replicas = primary.replicas;
+    for (const std::string& store : listedStores()) replicas.insert(store);
+    std::erase_if(replicas, [&](const std::string& store) { return isPrimaryOrAlias(store, primary); });
+    const RecentReplicas recent = recentAmong(replicas, primary, now);
+    if (replicas != primary.replicas || recent != primary.recentReplicas ||
+        addressesOf(replicas, primary) != primary.addresses)
+        return writeReplicas(primary, replicas, recent);
+    if (std::any_of(replicas.begin(), replicas.end(), [&](const auto& each) { return hasLeft(each); }))
+        beginReplicaRelease(primary, now);
+    else
+        departureSeenAt_ = 0;
+}
+
+// Whether the log of a replica that is not young has passed on to the store: it is at its address.
+bool Failover::inheritsEstablishedLog(const std::string& store, const PrimaryRecord& primary) const {
+    const std::string address = addressOf(store, primary);
+    if (address.empty()) return false;
+    if (primary.vacatedAddresses.count(address)) return true;
+    return std::any_of(primary.replicas.begin(), primary.replicas.end(), [&](const std::string& established) {
+        return !primary.recentReplicas.count(established) && addressOf(established, primary) == address;
+    });
+}
+
+// An address that another service's store has taken passes no log of this one on any more.
+std::set<std::string> Failover::nextVacatedAddresses(const PrimaryRecord& primary,
+                                                     const std::set<std::string>& replicas) const {
+    std::set<std::string> vacated = primary.vacatedAddresses;
+    for (const std::string& store : primary.replicas)
+        if (!replicas.count(store) && !primary.recentReplicas.count(store))
+            vacated.insert(addressOf(store, primary));
+    vacated.erase("");
+    host_.board().under("store/", [&](const std::string&, const board::Record& r) {
+        if (r.body.is_object()) vacated.erase(r.body.value("address", ""));
+    });
+    while (vacated.size() > maxVacatedAddresses) vacated.erase(vacated.begin());
+    return vacated;
+}
+
+// Each member counts for how long replicas have been on record, so that the next owner knows it, too.
+void Failover::updateReplicaAges(Nanos now) {
+    if (now - agesUpdatedAt_ < ageUpdateInterval) return;
+    agesUpdatedAt_ = now;
+    const board::Record* entry = host_.board().find("lead/" + service_);
+    const bool hasRecent = entry && entry->body.is_object() && entry->body.contains("young");
+    replicaAges_.update(hasRecent ? entry->body["young"].get<RecentReplicas>() : RecentReplicas(), now);
+}
+
+// Of the replicas to be on record next those that are young, with their ages.
+RecentReplicas Failover::recentAmong(const std::set<std::string>& replicas, const PrimaryRecord& primary,
+                                     Nanos now) const {
+    RecentReplicas recent;
+    for (const std::string& store : replicas) {
+        const bool isNew = !primary.replicas.count(store);
+        if (isNew ? inheritsEstablishedLog(store, primary) : !primary.recentReplicas.count(store)) continue;
+        const unsigned age =
+            isNew ? 0 : std::max(primary.recentReplicas.at(store), replicaAges_.age(store, now));
+        if (age < ReplicaAges::establishedAge) recent[store] = age;
+    }
+    return recent;
+}
+
+void Failover::writeReplicas(const PrimaryRecord& primary, std::set<std::string> replicas,
+                             RecentReplicas recent) {
+    PrimaryRecord next = primary;
+    next.recentReplicas = std::move(recent);
+    next.vacatedAddresses = nextVacatedAddresses(primary, replicas);
+    next.addresses = addressesOf(replicas, primary);
+    next.replicas = std::move(replicas);
+    ++next.sequence;
+    writePending_ = true;
+    host_.compareAndSet(service_, primary.sequence, next, [this](auto) { writePending_ = false; });
+}
+
+// A replica that left counts for the synchronous ones until it has ended, and takes its log along. When it
+// has ended, the primary is asked how far it is, then the replicas that stay.
+void Failover::beginReplicaRelease(const PrimaryRecord& primary, Nanos now) {
+    if (departureSeenAt_ == 0) departureSeenAt_ = now;
+    if (now - departureSeenAt_ < shutdownTime || now - lastQueryAt_ < releaseCheckInterval) return;
+    lastQueryAt_ = now;
+    statuses_.clear();
+    sendStatement(primary.store, Statement::status, "STATUS", now);
+}
+
+// What the primary has is on as many of those that stay as are synchronous: those that left are released.
+void Failover::handleReleaseStatus(const Request& request, const StoreStatus& status, Nanos now) {
+    const auto primary = currentPrimary();
+    if (!primary || !primary->settled || writePending_ || request.statement != Statement::status) return;
+    std::set<std::string> staying;
+    for (const std::string& store : primary->replicas)
+        if (!hasLeft(store)) staying.insert(store);
+    if (request.store == primary->store) {
+        if (!status.primary || status.term != primary->term) return;
+        statuses_[primary->store] = status;
+        for (const std::string& store : staying) sendStatement(store, Statement::status, "STATUS", now);
+        return;
+    }
+    const auto primaryStatus = statuses_.find(primary->store);
+    if (primaryStatus == statuses_.end() || !staying.count(request.store)) return;
+    statuses_[request.store] = status;
+    const auto syncCount = static_cast<std::size_t>(std::max(0, host_.syncReplicas(service_)));
+    const auto upToDate =
+        static_cast<std::size_t>(std::count_if(statuses_.begin(), statuses_.end(), [&](const auto& each) {
+            return each.first != primary->store &&
+                   !(each.second.receivedPosition < primaryStatus->second.receivedPosition);
+        }));
+    if (upToDate < std::max<std::size_t>(1, std::min(syncCount, staying.size()))) return;
+    statuses_.clear();
+    departureSeenAt_ = 0;
+    writeReplicas(*primary, staying, recentAmong(staying, *primary, now));
+}
+
+}  // namespace granitereel::control
--- a/src/control/lease.cpp
+++ b/src/control/lease.cpp
@@ -6,53 +6,54 @@
 
 namespace {
 // Rounds that answers are still awaited for; older ones could extend nothing.
-constexpr std::size_t roundsKept = 8;
+constexpr std::size_t maxPendingRounds = 8;
 }  // namespace
 
-Json LeaseQuestion::toJson() const {
+Json LeaseRoundRequest::toJson() const {
     return {{"k", kind}, {"round", round}, {"epoch", epoch}};
 }
 
-LeaseQuestion LeaseQuestion::fromJson(const Json& message) {
+LeaseRoundRequest LeaseRoundRequest::fromJson(const Json& message) {
     return {message.at("round"), message.at("epoch")};
 }
 
-Json LeaseAnswer::toJson() const {
-    Json marks = Json::object();
-    for (const auto& [service, sequence] : unsettled) marks[service] = sequence;
+Json LeaseRoundReply::toJson() const {
+    Json sequences = Json::object();
+    for (const auto& [service, sequence] : unsettled) sequences[service] = sequence;
     return {{"k", kind},
             {"round", round},
             {"epoch", epoch},
-            {"unsettled", std::move(marks)},
-            {"edition", configuration}};
+            {"unsettled", std::move(sequences)},
+            {"edition", configurationRevision}};
 }
 
-LeaseAnswer LeaseAnswer::fromJson(const Json& message) {
-    return {message.at("round"), message.at("epoch"), message.at("unsettled").get<LeadMarks>(),
+LeaseRoundReply LeaseRoundReply::fromJson(const Json& message) {
+    return {message.at("round"), message.at("epoch"), message.at("unsettled").get<UnsettledSequences>(),
             message.value("edition", std::uint64_t(0))};
 }
 
-LeaseQuestion LeaseRounds::begin(const Core& core, const std::string& ownVote, Nanos now) {
-    Round& round = rounds_[++last_];
+LeaseRoundRequest LeaseRounds::begin(const Core& core, const std::string& ownVote, Nanos now) {
+    Round& round = rounds_[++lastRound_];
     round.epoch = core.epoch;
     round.sentAt = now;
-    if (rounds_.size() > roundsKept) rounds_.erase(rounds_.begin());
-    if (!ownVote.empty()) count(round, ownVote, core);
-    return {last_, core.epoch};
+    if (rounds_.size() > maxPendingRounds) rounds_.erase(rounds_.begin());
+    if (!ownVote.empty()) countVote(round, ownVote, core);
+    return {lastRound_, core.epoch};
 }
 
-void LeaseRounds::answered(const std::string& voter, const LeaseAnswer& answer, const Core& core) {
+void LeaseRounds::answered(const std::string& voter, const LeaseRoundReply& answer, const Core& core) {
     const auto found = rounds_.find(answer.round);
     if (found == rounds_.end()) return;
     // Answers of two epochs are no majority of either.
     if (answer.epoch != core.epoch || found->second.epoch != core.epoch) return;
-    count(found->second, voter, core);
+    countVote(found->second, voter, core);
 }
 
-void LeaseRounds::count(Round& round, const std::string& voter, const Core& core) {
+void LeaseRounds::countVote(Round& round, const std::string& voter, const Core& core) {
     if (!core.voters.count(voter)) return;
     round.voters.insert(voter);
-    if (round.voters.size() >= core.majority()) until_ = std::max(until_, round.sentAt + leaseTime);
+    if (round.voters.size() >= core.majority())
+        expiresAt_ = std::max(expiresAt_, round.sentAt + leaseDuration);
 }
 
 }  // namespace granitereel::control
--- a/src/control/lease.hpp
+++ b/src/control/lease.hpp
@@ -14,34 +14,34 @@
 namespace granitereel::control {
 
 // Services whose lead may change or has changed, each with the sequence number of that change.
-using LeadMarks = std::map<std::string, std::uint64_t>;
+using UnsettledSequences = std::map<std::string, std::uint64_t>;
 
-struct LeaseQuestion {
+struct LeaseRoundRequest {
     static constexpr const char* kind = "round";
     std::uint64_t round = 0, epoch = 0;
     Json toJson() const;
-    static LeaseQuestion fromJson(const Json& message);  // throws nlohmann::json::exception
+    static LeaseRoundRequest fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
-struct LeaseAnswer {
+struct LeaseRoundReply {
     static constexpr const char* kind = "roundok";
     std::uint64_t round = 0, epoch = 0;
-    LeadMarks unsettled;
-    std::uint64_t configuration = 0;  // the version that the voter holds; 0: none
+    UnsettledSequences unsettled;
+    std::uint64_t configurationRevision = 0;  // the version that the voter holds; 0: none
     Json toJson() const;
-    static LeaseAnswer fromJson(const Json& message);  // throws nlohmann::json::exception
+    static LeaseRoundReply fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
 class LeaseRounds {
 public:
     // How long what was told of leads may be believed, counted from when the question for it was sent.
-    static constexpr Nanos leaseTime = millis(700);
+    static constexpr Nanos leaseDuration = millis(700);
 
     // Begins a round in this epoch. `ownVote`: the voter that this member is, or empty.
-    LeaseQuestion begin(const Core& core, const std::string& ownVote, Nanos now);
+    LeaseRoundRequest begin(const Core& core, const std::string& ownVote, Nanos now);
     // Counts only where round, answer and this member's present epoch are one.
-    void answered(const std::string& voter, const LeaseAnswer& answer, const Core& core);
-    Nanos until() const { return until_; }
+    void answered(const std::string& voter, const LeaseRoundReply& answer, const Core& core);
+    Nanos expiresAt() const { return expiresAt_; }
 
 private:
     struct Round {
@@ -49,11 +49,11 @@
         Nanos sentAt = 0;
         std::set<std::string> voters;
     };
-    void count(Round& round, const std::string& voter, const Core& core);
+    void countVote(Round& round, const std::string& voter, const Core& core);
 
     std::map<std::uint64_t, Round> rounds_;
-    std::uint64_t last_ = 0;
-    Nanos until_ = 0;
+    std::uint64_t lastRound_ = 0;
+    Nanos expiresAt_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -53,7 +53,7 @@
         }
         if (name.starts_with("slot/")) {
             acceptor_.load(name.substr(5), readSlot(body));
-            unsettledLeads_.holds(name.substr(5), acceptor_.at(name.substr(5)).value);
+            unsettledLeads_.accepted(name.substr(5), acceptor_.at(name.substr(5)).value);
         }
     }
     if (core_.epoch) {
@@ -123,7 +123,7 @@
                record.body.at("voters").get<std::set<std::string>>()});
     if (name.starts_with("member/")) membership_.told(name.substr(7), MemberStanding::fromJson(record.body));
     forgetAnnounced(name);
-    stores_.news(name, record, now_);
+    stores_.recordChanged(name, record, now_);
 }
 
 namespace {
@@ -151,7 +151,7 @@
 // A register's value that is known to stand becomes a record for all.
 void ControlMember::learn(const std::string& name, const Json& value) {
     if (value.is_null()) return;
-    const Json body = name == "config" ? EditionLog::fromJson(value).configuration() : value;
+    const Json body = name == "config" ? ConfigurationRevisions::fromJson(value).configuration() : value;
     gossip_.put(name, {versionOf(name, value), body});
 }
 
@@ -171,7 +171,7 @@
     gossip_.alive(link);
     take(link, message, now);
     if (membership_.changing(now)) membership_.tick(votes(), now);
-    calls_.serveWaiting(now);
+    calls_.runWaitingCalls(now);
     flushProposer(now);
     depart(now);
 }
@@ -188,25 +188,25 @@
         greeted(link, peer, Hello::fromJson(message), now);
     } else if (board::isGossip(kind)) {
         gossip_.heard(link, message);
-        if (!peer.dialled.empty() && gossip_.complete(link)) stores_.boardHeardFrom(peer.dialled);
-    } else if (kind == StoreRecordReplicate::kind) {
-        if (const auto reply = stores_.hold(StoreRecordReplicate::fromJson(message), now))
+        if (!peer.dialled.empty() && gossip_.complete(link)) stores_.recordsReceivedFrom(peer.dialled);
+    } else if (kind == StoreReplicationRequest::kind) {
+        if (const auto reply = stores_.replicate(StoreReplicationRequest::fromJson(message), now))
             send(link, reply->toJson());
-    } else if (kind == StoreRecordHeld::kind) {
-        stores_.held(peer.dialled, StoreRecordHeld::fromJson(message), now);
+    } else if (kind == StoreReplicationReply::kind) {
+        stores_.replicationAnswered(peer.dialled, StoreReplicationReply::fromJson(message), now);
     } else if (isVoteRequest(kind)) {
         vote(link, message);
     } else if (isVoteReply(kind)) {
         proposer_.heard(peer.dialled, message, now);
     } else if (kind == PresentCore::kind) {
         adopt(PresentCore::fromJson(message).core);
-    } else if (kind == LeaseQuestion::kind) {
+    } else if (kind == LeaseRoundRequest::kind) {
         roundAsked(link, peer, message, now);
-    } else if (kind == LeaseAnswer::kind) {
+    } else if (kind == LeaseRoundReply::kind) {
         roundAnswered(link, peer, message, now);
     } else if (kind == board::LeaseRequest::kind) {
         const std::uint64_t number = board::LeaseRequest::fromJson(message).number;
-        const Nanos left = std::max<Nanos>(0, lease_.until() - now);
+        const Nanos left = std::max<Nanos>(0, lease_.expiresAt() - now);
         send(link, board::LeaseReply{number, left, unsettledLeads_.all(board(), now),
                                      board::configurationVersion(board())}
                        .toJson());
@@ -251,11 +251,11 @@
 
 // A member asks for its lease.
 void ControlMember::roundAsked(int link, const Peer& peer, const Json& message, Nanos now) {
-    const LeaseQuestion question = LeaseQuestion::fromJson(message);
+    const LeaseRoundRequest question = LeaseRoundRequest::fromJson(message);
     if (!peer.member.empty()) calls_.contacts().heard(peer.member, micros(message, "lease_left_us"), now);
     if (votes() && question.epoch == core_.epoch) {
-        const LeaseAnswer told{question.round, question.epoch, unsettledLeads_.own(board()),
-                               board::configurationVersion(board())};
+        const LeaseRoundReply told{question.round, question.epoch, unsettledLeads_.acceptedLocally(board()),
+                                   board::configurationVersion(board())};
         send(link, withLeaseLeft(told.toJson()));
     }
     // Who was cut off during a change of voters is told of it.
@@ -264,13 +264,13 @@
 
 void ControlMember::roundAnswered(int link, const Peer& peer, const Json& message, Nanos now) {
     calls_.contacts().heard(peer.dialled, micros(message, "lease_left_us"), now);
-    const LeaseAnswer told = LeaseAnswer::fromJson(message);
-    unsettledLeads_.told(told.unsettled, now);
+    const LeaseRoundReply told = LeaseRoundReply::fromJson(message);
+    unsettledLeads_.reported(told.unsettled, now);
     // Before the exchange on this link is complete the voter may know of a change that this member doesn't.
     if (!gossip_.complete(link)) return;
-    if (const std::uint64_t held = board::configurationVersion(board()); held < told.configuration) {
+    if (const std::uint64_t held = board::configurationVersion(board()); held < told.configurationRevision) {
         reportBroken(newsBeforeLease_, "configuration " + std::to_string(held) + ", and " + peer.dialled +
-                                           " holds " + std::to_string(told.configuration));
+                                           " holds " + std::to_string(told.configurationRevision));
         return gossip_.exchangeAnew(link);
     }
     lease_.answered(peer.dialled, told, core_);
@@ -296,7 +296,7 @@
     for (const auto& [name, slot] : reply.slots) {
         if (!acceptor_.merge(name, slot)) continue;
         outputs_.push_back(ToDisk{"slot/" + name, written(acceptor_.at(name))});
-        unsettledLeads_.holds(name, acceptor_.at(name).value);
+        unsettledLeads_.accepted(name, acceptor_.at(name).value);
     }
     if (!recovery_.complete(core_, newestEpochSeen())) return;
     recovering_ = false;
@@ -360,7 +360,7 @@
 // A value was accepted here; whether it is chosen is for a proposer to say.
 void ControlMember::accepted(const std::string& name) {
     const Json& value = acceptor_.at(name).value;
-    unsettledLeads_.holds(name, value);
+    unsettledLeads_.accepted(name, value);
     if (!value.is_null() && !said(name, value)) unannounced_.try_emplace(name, now_);
 }
 
@@ -395,13 +395,13 @@
 void ControlMember::rounds(Nanos now) {
     if (!core_.epoch || now - roundAt_ < roundEvery) return;
     roundAt_ = now;
-    const LeaseQuestion question = lease_.begin(core_, votes() ? self_ : "", now);
+    const LeaseRoundRequest question = lease_.begin(core_, votes() ? self_ : "", now);
     for (const std::string& voter : core_.voters)
         if (const int link = voter == self_ ? 0 : linkTo(voter)) send(link, withLeaseLeft(question.toJson()));
 }
 
 Json ControlMember::withLeaseLeft(Json message) const {
-    message["lease_left_us"] = std::max<Nanos>(0, lease_.until() - now_) / 1000;
+    message["lease_left_us"] = std::max<Nanos>(0, lease_.expiresAt() - now_) / 1000;
     return message;
 }
 
@@ -528,11 +528,11 @@
 void ControlMember::tick(Nanos now) {
     now_ = now;
     gossip_.advance(now, leased(now));
-    if (auto line = contact_.seen(lease_.until(), now)) outputs_.push_back(ToLog{std::move(*line)});
+    if (auto line = contact_.seen(lease_.expiresAt(), now)) outputs_.push_back(ToLog{std::move(*line)});
     ownRecord();
     rounds(now);
     stores_.tick(now);
-    calls_.serveWaiting(now);
+    calls_.runWaitingCalls(now);
     proposer_.tick(now);
     for (std::string& text : proposer_.takeFailures()) outputs_.push_back(ToLog{std::move(text)});
     recover(now);
@@ -570,7 +570,7 @@
             {"votes", votes()},
             {"recovering", recovering_},
             {"disk", textOf(diskWatch_.health())},
-            {"lease_left_ms", std::max<Nanos>(0, lease_.until() - now) / 1'000'000},
+            {"lease_left_ms", std::max<Nanos>(0, lease_.expiresAt() - now) / 1'000'000},
             {"edition", config ? Json(config->version.major) : Json()},
             {"registers", acceptor_.all().size()},
             {"leads", leads}};
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -18,6 +18,7 @@
 #include "control/call_router.hpp"
 #include "control/departure.hpp"
 #include "control/disk_health.hpp"
+#include "control/failover.hpp"
 #include "control/lease.hpp"
 #include "control/membership.hpp"
 #include "control/messages.hpp"
@@ -26,18 +27,17 @@
 #include "control/recovery.hpp"
 #include "control/register.hpp"
 #include "control/store_registry.hpp"
-#include "control/succession.hpp"
-#include "control/unsettled_leads.hpp"
+#include "control/unsettled_primaries.hpp"
 #include "nanos.hpp"
 #include "settings/settings.hpp"
 
 namespace granitereel::control {
 
-class ControlMember : public Succession::Means,
+class ControlMember : public Failover::Host,
                       private Membership::Means,
-                      private StoreRegistry::Means,
-                      private OperatorCalls::Means,
-                      private CallRouter::Means {
+                      private StoreRegistry::Host,
+                      private OperatorCalls::Host,
+                      private CallRouter::Host {
 public:
     // `incarnation`: drawn anew when the disk is empty, else as it was. `disk`: what was written, by name,
     // with the life at `lifeKey` raised for this start.
@@ -51,8 +51,8 @@
     // A call over HTTP: the path by segments.
     void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
               const std::string& body, Nanos now);
-    void storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanos now);
-    void platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanos now);
+    void storeAnswered(std::uint64_t ask, std::optional<StoreStatus> row, Nanos now);
+    void platformAnswered(std::uint64_t ask, PromotionOutcome answer, Nanos now);
     // A reply of this member's own vote (ToSelf): what it says is on disk.
     void voteStored(const Json& reply, Nanos now);
     // How the disk does; said before each tick and when it changes.
@@ -82,11 +82,11 @@
     };
 
     Outputs& outputs() override { return outputs_; }
-    std::uint64_t nextAsk(Succession& asker) override;
-    void change(const std::string& service, std::uint64_t ifSeq, Lead to,
-                std::function<void(std::optional<Lead>)> done) override;
-    void confirm(const std::string& service, const Lead& expected,
-                 std::function<void(Confirmation, Nanos now)> done) override;
+    std::uint64_t nextRequestId(Failover& asker) override;
+    void compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
+                       std::function<void(std::optional<PrimaryRecord>)> done) override;
+    void confirmPrimary(const std::string& service, const PrimaryRecord& expected,
+                        std::function<void(Confirmation, Nanos now)> done) override;
     const board::Board& board() const override { return gossip_.board(); }
     int syncReplicas(const std::string& service) const override;
 
@@ -95,18 +95,18 @@
     void sendTo(const std::string& voter, Json message) override;
     const Core& core() const override { return core_; }
     void answerStore(std::uint64_t call, Kind kind) override {
-        calls_.answerOrSendOn(call, kind, "{}", now_);
+        calls_.answerOrRedirect(call, kind, "{}", now_);
     }
 
     void beginChange(Change change, Nanos now, Nanos until) override;
-    void configurationStands(const Json& value) override { learn("config", value); }
+    void configurationChosen(const Json& value) override { learn("config", value); }
     void answerOperator(std::uint64_t call, Kind kind, std::string body) override {
-        calls_.answerOrSendOn(call, kind, std::move(body), now_);
+        calls_.answerOrRedirect(call, kind, std::move(body), now_);
     }
     void log(std::string line) override { outputs_.push_back(ToLog{std::move(line)}); }
 
     void send(int link, Json message) { outputs_.push_back(ToLink{link, std::move(message)}); }
-    bool leased(Nanos now) const override { return core_.epoch && now < lease_.until(); }
+    bool leased(Nanos now) const override { return core_.epoch && now < lease_.expiresAt(); }
     bool leaving() const override { return departure_.begun(); }
     bool diskRefuses() const override { return diskWatch_.health() == DiskHealth::refuses; }
     std::string stateText(Nanos now) const override { return state(now).dump(); }
@@ -168,12 +168,12 @@
     std::map<int, Peer> peers_;
     std::map<std::string, std::string> incarnations_;
     std::map<std::string, Nanos> memberHeard_;
-    UnsettledLeads unsettledLeads_;
+    UnsettledPrimaries unsettledLeads_;
     LeaseRounds lease_;
     board::ContactWatch contact_;
     board::Invariant newsBeforeLease_{board::newsBeforeLease};
-    std::map<std::string, std::unique_ptr<Succession>> successions_;
-    std::map<std::uint64_t, Succession*> asks_;
+    std::map<std::string, std::unique_ptr<Failover>> successions_;
+    std::map<std::uint64_t, Failover*> asks_;
     std::uint64_t nextAsk_ = 1;
     Nanos roundAt_ = 0, startedAt_, readAt_ = 0;
     configuration::Configuration configuration_;
--- a/src/control/member_duties.cpp
+++ b/src/control/member_duties.cpp
@@ -19,15 +19,15 @@
 }
 }  // namespace
 
-std::uint64_t ControlMember::nextAsk(Succession& asker) {
+std::uint64_t ControlMember::nextRequestId(Failover& asker) {
     asks_[nextAsk_] = &asker;
     return nextAsk_++;
 }
 
-void ControlMember::change(const std::string& service, std::uint64_t ifSeq, Lead to,
-                           std::function<void(std::optional<Lead>)> done) {
+void ControlMember::compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
+                                  std::function<void(std::optional<PrimaryRecord>)> done) {
     const std::string name = "lead/" + service;
-    const Json wanted = written(to);
+    const Json wanted = toJson(to);
     // An equal value may stand that another life of this member wrote: only one that was applied here counts.
     const auto applied = std::make_shared<bool>(false);
     proposer_.begin({name,
@@ -40,26 +40,26 @@
                      [this, name, wanted, applied, done = std::move(done)](std::optional<Json> stands) {
                          if (stands) learn(name, *stands);
                          const bool ours = stands && *applied && *stands == wanted;
-                         done(ours ? readLead(*stands) : std::nullopt);
+                         done(ours ? parsePrimaryRecord(*stands) : std::nullopt);
                      }},
                     now_, now_ + changeWithin);
     flushProposer(now_);
 }
 
 // A read by a majority that promises to take nothing older: what replaces the lead is chosen after it began.
-void ControlMember::confirm(const std::string& service, const Lead& expected,
-                            std::function<void(Confirmation, Nanos now)> done) {
+void ControlMember::confirmPrimary(const std::string& service, const PrimaryRecord& expected,
+                                   std::function<void(Confirmation, Nanos now)> done) {
     const std::string name = "lead/" + service;
-    proposer_.begin(
-        {name, [](const Json& was) { return was; },
-         [this, name, wanted = written(expected), done = std::move(done)](std::optional<Json> is) {
-             if (is) learn(name, *is);
-             const auto lead = is ? readLead(*is) : std::nullopt;
-             if (is && (!lead || written(*lead) != wanted)) return done(Confirmation::replaced, now_);
-             const bool contact = leased(now_);
-             done(is && contact ? Confirmation::stands : Confirmation::unknown, now_);
-         }},
-        now_, now_ + changeWithin);
+    proposer_.begin({name, [](const Json& was) { return was; },
+                     [this, name, wanted = toJson(expected), done = std::move(done)](std::optional<Json> is) {
+                         if (is) learn(name, *is);
+                         const auto lead = is ? parsePrimaryRecord(*is) : std::nullopt;
+                         if (is && (!lead || toJson(*lead) != wanted))
+                             return done(Confirmation::replaced, now_);
+                         const bool contact = leased(now_);
+                         done(is && contact ? Confirmation::current : Confirmation::unknown, now_);
+                     }},
+                    now_, now_ + changeWithin);
     flushProposer(now_);
 }
 
@@ -71,7 +71,7 @@
 void ControlMember::suspected(const Json& message, Nanos now) {
     const std::string service = message.at("service");
     const auto at = successions_.find(service);
-    if (at != successions_.end()) at->second->suspected(message.at("store"), now);
+    if (at != successions_.end()) at->second->primarySuspected(message.at("store"), now);
     // The member that owns the duty may be another; it is told once.
     if (message.value("passed", false)) return;
     Json on = message;
@@ -80,22 +80,22 @@
         if (!peer.dialled.empty()) send(link, on);
 }
 
-void ControlMember::storeAnswered(std::uint64_t ask, std::optional<StoreRow> row, Nanos now) {
+void ControlMember::storeAnswered(std::uint64_t ask, std::optional<StoreStatus> row, Nanos now) {
     now_ = now;
     const auto at = asks_.find(ask);
     if (at == asks_.end()) return;
-    Succession* asker = at->second;
+    Failover* asker = at->second;
     asks_.erase(at);
-    asker->answered(ask, row, now);
+    asker->statementAnswered(ask, row, now);
 }
 
-void ControlMember::platformAnswered(std::uint64_t ask, PromotionAnswer answer, Nanos now) {
+void ControlMember::platformAnswered(std::uint64_t ask, PromotionOutcome answer, Nanos now) {
     now_ = now;
     const auto at = asks_.find(ask);
     if (at == asks_.end()) return;
-    Succession* asker = at->second;
+    Failover* asker = at->second;
     asks_.erase(at);
-    asker->promoted(ask, answer, now);
+    asker->promotionAnswered(ask, answer, now);
 }
 
 // Each service's duty belongs to the voter with the highest value for its name among those in reach.
@@ -108,13 +108,13 @@
         if (voter == self_ || linkTo(voter) || (at != memberHeard_.end() && now - at->second < awayAfter))
             here.push_back(voter);
     }
-    const bool majority = here.size() >= core_.majority() && now < lease_.until();
+    const bool majority = here.size() >= core_.majority() && now < lease_.expiresAt();
     board().under("store/", [&](const std::string&, const board::Record& record) {
         if (!record.body.is_object()) return;
         auto& slot = successions_[record.body.at("service").get<std::string>()];
         if (!slot)
-            slot = std::make_unique<Succession>(
-                self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
+            slot = std::make_unique<Failover>(
+                self_, record.body.at("service"), LeaseRounds::leaseDuration + maxClockDrift, *this,
                 PlatformGuarantees{settings_.fenceChecked, millis(settings_.lease_ms)});
     });
     std::erase_if(here, [this](const std::string& voter) { return disqualified(voter); });
@@ -122,7 +122,7 @@
         const auto best = std::max_element(here.begin(), here.end(), [&, &name = service](auto& a, auto& b) {
             return weight(a, name) < weight(b, name);
         });
-        succession->own(majority && votes() && best != here.end() && *best == self_, now);
+        succession->setOwner(majority && votes() && best != here.end() && *best == self_, now);
         succession->tick(now);
     }
 }
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -5,48 +5,49 @@
 namespace granitereel::control {
 
 namespace {
-Json conflictText(const Json& sent) {
+Json conflictBody(const Json& configuration) {
     return {{"kind", "edition_conflict"},
-            {"edition", sent.at("edition")},
+            {"edition", configuration.at("edition")},
             {"fault", "another configuration was taken under this edition"}};
 }
 }  // namespace
 
-void OperatorCalls::put(std::uint64_t call, const Json& sent, Nanos now, Nanos until) {
+void OperatorCalls::put(std::uint64_t call, const Json& configuration, Nanos now, Nanos deadline) {
     // The last time that the register's value was seen decides: it is the one that was chosen.
-    const auto verdict = std::make_shared<OrderVerdict>(OrderVerdict::older);
+    const auto outcome = std::make_shared<RevisionOutcome>(RevisionOutcome::stale);
     Change change;
     change.name = "config";
-    change.change = [sent, verdict](const Json& was) {
-        EditionLog editions = EditionLog::fromJson(was);
-        *verdict = editions.offer(sent);
-        return editions.toJson();
+    change.change = [configuration, outcome](const Json& current) {
+        ConfigurationRevisions revisions = ConfigurationRevisions::fromJson(current);
+        *outcome = revisions.apply(configuration);
+        return revisions.toJson();
     };
-    change.done = [this, call, sent, verdict](std::optional<Json> stands) {
-        if (!stands) return means_.answerOperator(call, Kind::noMajority, {});
-        means_.configurationStands(*stands);
-        const std::string edition = sent.at("edition").dump();
-        if (*verdict == OrderVerdict::conflict) {
-            means_.log("configuration " + edition + " refused: another body was taken under its number");
-            return means_.answerOperator(call, Kind::conflict, conflictText(sent).dump());
+    change.done = [this, call, configuration, outcome](std::optional<Json> chosen) {
+        if (!chosen) return host_.answerOperator(call, Kind::noMajority, {});
+        host_.configurationChosen(*chosen);
+        const std::string revision = configuration.at("edition").dump();
+        if (*outcome == RevisionOutcome::conflict) {
+            host_.log("configuration " + revision + " refused: another body was taken under its number");
+            return host_.answerOperator(call, Kind::conflict, conflictBody(configuration).dump());
         }
-        means_.log("configuration " + edition + " acknowledged");
-        means_.answerOperator(call, Kind::taken, "{}");
+        host_.log("configuration " + revision + " acknowledged");
+        host_.answerOperator(call, Kind::taken, "{}");
     };
-    means_.beginChange(std::move(change), now, until);
+    host_.beginChange(std::move(change), now, deadline);
 }
 
-void OperatorCalls::get(std::uint64_t call, Nanos now, Nanos until) {
+void OperatorCalls::get(std::uint64_t call, Nanos now, Nanos deadline) {
     Change change;
     change.name = "config";
-    change.change = [](const Json& was) { return was; };
-    change.done = [this, call](std::optional<Json> stands) {
-        if (!stands) return means_.answerOperator(call, Kind::noMajority, {});
-        if (stands->is_null()) return means_.answerOperator(call, Kind::notFound, {});
-        means_.configurationStands(*stands);
-        means_.answerOperator(call, Kind::taken, EditionLog::fromJson(*stands).configuration().dump());
+    change.change = [](const Json& current) { return current; };
+    change.done = [this, call](std::optional<Json> chosen) {
+        if (!chosen) return host_.answerOperator(call, Kind::noMajority, {});
+        if (chosen->is_null()) return host_.answerOperator(call, Kind::notFound, {});
+        host_.configurationChosen(*chosen);
+        host_.answerOperator(call, Kind::taken,
+                             ConfigurationRevisions::fromJson(*chosen).configuration().dump());
     };
-    means_.beginChange(std::move(change), now, until);
+    host_.beginChange(std::move(change), now, deadline);
 }
 
 }  // namespace granitereel::control
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "control/edition_log.hpp"
+#include "control/configuration_revisions.hpp"
 #include "control/outputs.hpp"
 #include "control/register.hpp"
 #include "nanos.hpp"
@@ -15,24 +15,24 @@
 class OperatorCalls {
 public:
     // What is needed of the member.
-    struct Means {
-        virtual ~Means() = default;
-        virtual void beginChange(Change change, Nanos now, Nanos until) = 0;
+    struct Host {
+        virtual ~Host() = default;
+        virtual void beginChange(Change change, Nanos now, Nanos deadline) = 0;
         // The register's value that was seen to stand.
-        virtual void configurationStands(const Json& value) = 0;
+        virtual void configurationChosen(const Json& value) = 0;
         virtual void answerOperator(std::uint64_t call, Kind kind, std::string body) = 0;
         virtual void log(std::string line) = 0;
     };
-    explicit OperatorCalls(Means& means) : means_(means) {}
+    explicit OperatorCalls(Host& host) : host_(host) {}
 
     // PUT /config with a body that was found valid. By `until` it is answered, and the
     // configuration may stand or not where there was no majority; the same body may be sent again anywhere.
-    void put(std::uint64_t call, const Json& sent, Nanos now, Nanos until);
+    void put(std::uint64_t call, const Json& configuration, Nanos now, Nanos deadline);
     // GET /config.
-    void get(std::uint64_t call, Nanos now, Nanos until);
+    void get(std::uint64_t call, Nanos now, Nanos deadline);
 
 private:
-    Means& means_;
+    Host& host_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/lead.hpp
+++ b/src/control/primary_record.hpp
@@ -10,29 +10,29 @@
 #include <string>
 
 #include "control/replica_ages.hpp"
-#include "mark.hpp"
+#include "log_position.hpp"
 
 namespace granitereel::control {
 
 using Json = nlohmann::json;
 
 // What the register "lead/SERVICE" holds.
-struct Lead {
+struct PrimaryRecord {
     std::string store;
-    std::uint64_t term = 0, seq = 0, fence = 0;
-    std::string holder;              // the member that owns the duty
-    bool steady = false;             // no promotion may be under way
+    std::uint64_t term = 0, sequence = 0, fencingToken = 0;
+    std::string owner;               // the member that owns the duty
+    bool settled = false;            // no promotion may be under way
     std::set<std::string> replicas;  // also those that left and were not released yet
     // Of the replicas those that are on record for a short while only: a proxy may rest on a record without
     // them.
-    YoungReplicas young;
+    RecentReplicas recentReplicas;
     // Addresses of released replicas that were not young: a log passes on to the next store there.
-    std::set<std::string> vacated;
+    std::set<std::string> vacatedAddresses;
     std::map<std::string, std::string> addresses;  // of the replicas: a log passes on at its address
     // Of the log of the lead before, what this store had for certain when it was promoted; none: not known.
-    std::optional<Mark> retained;
+    std::optional<LogPosition> retained;
 };
-Json written(const Lead& lead);
-std::optional<Lead> readLead(const Json& body);
+Json toJson(const PrimaryRecord& primary);
+std::optional<PrimaryRecord> parsePrimaryRecord(const Json& body);
 
 }  // namespace granitereel::control
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -25,26 +25,26 @@
 using transport::Link;
 
 // At the end the disk's thread has so long; well within any grace period that is given in seconds.
-constexpr std::chrono::milliseconds endWithin{500};
+constexpr std::chrono::milliseconds diskShutdownTimeout{500};
 
-std::string drawIncarnation() {
-    std::random_device chance;
-    return std::to_string((std::uint64_t(chance()) << 32) | chance());
+std::string randomIncarnation() {
+    std::random_device device;
+    return std::to_string((std::uint64_t(device()) << 32) | device());
 }
 
 // The disk and what it holds, with the number of this life on it before any ballot bears it. Waits while the
 // disk refuses: to end would change nothing, and a refusal says nothing of what it holds.
 std::unique_ptr<Disk> openDisk(const std::string& folder, DiskRecords& records) {
-    for (bool told = false;; told = true) {
+    for (bool logged = false;; logged = true) {
         try {
-            auto disk = std::make_unique<Disk>(folder, machineDisk(), drawIncarnation);
+            auto disk = std::make_unique<Disk>(folder, machineDisk(), randomIncarnation);
             records = disk->all();
             records[lifeKey] = nextLife(records);
             disk->write({{lifeKey, records[lifeKey]}});
             return disk;
         } catch (const DiskError& error) {
             if (error.fault() == DiskFault::lost) throw;
-            if (!told) spdlog::warn("waiting for the disk: {}", error.what());
+            if (!logged) spdlog::warn("waiting for the disk: {}", error.what());
             std::this_thread::sleep_for(DiskWriter::retryEvery);
         }
     }
@@ -57,22 +57,22 @@
           settingsPath_(settingsPath),
           loop_(1),
           disk_(openDisk(settings.dataPath, records_)),
-          member_(begin()),
+          member_(makeMember()),
           writer_(std::move(disk_),
                   [this](DiskReport report) {
                       asio::post(loop_, [this, report = std::move(report)] { diskReported(report); });
                   }),
-          ticker_(loop_),
-          lastAnswers_(loop_),
+          tickTimer_(loop_),
+          lastAnswersTimer_(loop_),
           signals_(loop_, SIGTERM, SIGINT, SIGHUP),
           listener_(loop_,
                     {asio::ip::make_address_v4(settings.ip), static_cast<unsigned short>(settings.firstPort)},
-                    [this](std::shared_ptr<transport::Stream> stream) { linked(std::move(stream), ""); }),
+                    [this](std::shared_ptr<transport::Stream> stream) { addLink(std::move(stream), ""); }),
           http_(loop_, transport::endpointOf(settings.controlAddress), 16 * 1024 * 1024,
                 [this](std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
                        const std::string& body) {
                     member_.call(call, method, path, body, transport::steadyNow());
-                    carryOut();
+                    dispatchOutputs();
                 }) {}
 
     int run() {
@@ -81,7 +81,7 @@
         spdlog::info("control serves at {}", settings_.controlAddress);
         loop_.run();
         spdlog::info("sent: {}", traffic_.line());
-        if (!writer_.stop(endWithin)) {
+        if (!writer_.stop(diskShutdownTimeout)) {
             spdlog::warn("ends although the disk hangs");
             spdlog::default_logger()->flush();
             std::_Exit(exitCode_);
@@ -90,7 +90,7 @@
     }
 
 private:
-    ControlMember begin() {
+    ControlMember makeMember() {
         if (disk_->afterLoss() && !records_.count("core"))
             spdlog::warn("the state on disk was lost: begins anew");
         return ControlMember(settings_, disk_->incarnation(), std::exchange(records_, {}),
@@ -117,8 +117,8 @@
         const Nanos now = transport::steadyNow();
         member_.diskSeen(diskHealth(now), now);
         // Not through the gate again, where they would wait for the writes since.
-        for (Output& output : released) carry(output);
-        carryOut();
+        for (Output& output : released) dispatch(output);
+        dispatchOutputs();
     }
 
     void listen() {
@@ -128,129 +128,132 @@
                 try {
                     settings::read(settingsPath_);
                     spdlog::info("settings read again: sound");
-                } catch (const settings::InvalidSettings& fault) {
-                    spdlog::warn("settings kept as they were: {}", fault.what());
+                } catch (const settings::InvalidSettings& error) {
+                    spdlog::warn("settings kept as they were: {}", error.what());
                 }
                 return listen();
             }
             if (leaving_) return loop_.stop();  // told twice
             leaving_ = true;
             member_.leave(transport::steadyNow());
-            carryOut();
+            dispatchOutputs();
             listen();
         });
     }
 
     void tick() {
         const Nanos now = transport::steadyNow();
-        dial(now);
+        dialMembers(now);
         member_.diskSeen(diskHealth(now), now);
         member_.tick(now);
         if (traffic_.due(now)) spdlog::info("sent: {}", traffic_.line());
-        carryOut();
-        ticker_.expires_after(std::chrono::milliseconds(50));
-        ticker_.async_wait([this](boost::system::error_code ec) {
+        dispatchOutputs();
+        tickTimer_.expires_after(std::chrono::milliseconds(50));
+        tickTimer_.async_wait([this](boost::system::error_code ec) {
             if (!ec) tick();
         });
     }
 
-    void dial(Nanos now) {
+    void dialMembers(Nanos now) {
         for (const std::string& member : member_.toDial()) {
-            auto& slot = dialled_[member];
-            if (slot.link != 0 || now < slot.notBefore) continue;
-            slot.notBefore = now + millis(250);
-            auto where = transport::endpointOf(member);
-            where.port(static_cast<unsigned short>(settings_.firstPort));
-            auto made = std::make_shared<std::shared_ptr<transport::Stream>>();
-            slot.link = -1;
-            *made = transport::Stream::to(loop_, where, 1500, [this, made, member] {
-                const auto stream = *made;
-                made->reset();
-                linked(stream, member);
+            auto& dialled = dialledMembers_[member];
+            if (dialled.link != 0 || now < dialled.nextAttemptAt) continue;
+            dialled.nextAttemptAt = now + millis(250);
+            auto endpoint = transport::endpointOf(member);
+            endpoint.port(static_cast<unsigned short>(settings_.firstPort));
+            auto connecting = std::make_shared<std::shared_ptr<transport::Stream>>();
+            dialled.link = -1;
+            *connecting = transport::Stream::to(loop_, endpoint, 1500, [this, connecting, member] {
+                const auto stream = *connecting;
+                connecting->reset();
+                addLink(stream, member);
             });
-            (*made)->start([](std::string_view) { return std::size_t(0); },
-                           [this, member](bool) { dialled_[member].link = 0; });
+            (*connecting)
+                ->start([](std::string_view) { return std::size_t(0); },
+                        [this, member](bool) { dialledMembers_[member].link = 0; });
         }
     }
 
-    void linked(std::shared_ptr<transport::Stream> stream, const std::string& dialled) {
-        const int no = ++lastLink_;
+    void addLink(std::shared_ptr<transport::Stream> stream, const std::string& dialled) {
+        const int linkId = ++lastLinkId_;
         auto link = std::make_shared<Link>(std::move(stream));
-        links_[no] = link;
-        if (!dialled.empty()) dialled_[dialled].link = no;
+        links_[linkId] = link;
+        if (!dialled.empty()) dialledMembers_[dialled].link = linkId;
         link->start(
-            [this, no](const nlohmann::json& message) {
-                member_.heard(no, message, transport::steadyNow());
-                carryOut();
+            [this, linkId](const nlohmann::json& message) {
+                member_.heard(linkId, message, transport::steadyNow());
+                dispatchOutputs();
             },
-            [this, no, dialled] {
-                links_.erase(no);
-                if (!dialled.empty() && dialled_[dialled].link == no) dialled_[dialled].link = 0;
-                member_.linkDown(no, transport::steadyNow());
-                carryOut();
+            [this, linkId, dialled] {
+                links_.erase(linkId);
+                if (!dialled.empty() && dialledMembers_[dialled].link == linkId)
+                    dialledMembers_[dialled].link = 0;
+                member_.linkDown(linkId, transport::steadyNow());
+                dispatchOutputs();
             });
-        member_.linkUp(no, dialled, transport::steadyNow());
-        carryOut();
+        member_.linkUp(linkId, dialled, transport::steadyNow());
+        dispatchOutputs();
     }
 
-    void carryOut() {
+    void dispatchOutputs() {
         for (Outputs outputs = member_.takeOutputs(); !outputs.empty(); outputs = member_.takeOutputs())
             for (Output& output : outputs)
-                if (!gate_.holds(output)) carry(output);
+                if (!gate_.holds(output)) dispatch(output);
         // All at once: one wake-up of the disk's thread, one sync.
         if (!toDisk_.empty()) writer_.submit(std::exchange(toDisk_, {}), lastWrite_);
-        if (member_.mayEnd()) end();
+        if (member_.mayEnd()) shutDown();
     }
     // What was answered last gets the time to leave.
-    void end() {
+    void shutDown() {
         if (std::exchange(ending_, true)) return;
         spdlog::info("control ends");
-        lastAnswers_.expires_after(std::chrono::milliseconds(20));
-        lastAnswers_.async_wait([this](boost::system::error_code) { loop_.stop(); });
+        lastAnswersTimer_.expires_after(std::chrono::milliseconds(20));
+        lastAnswersTimer_.async_wait([this](boost::system::error_code) { loop_.stop(); });
     }
-    void carry(Output& output) {
-        std::visit([this](auto& each) { carry(each); }, output);
+    void dispatch(Output& output) {
+        std::visit([this](auto& each) { dispatch(each); }, output);
     }
-    void carry(ToLink& out) {
+    void dispatch(ToLink& out) {
         const auto at = links_.find(out.link);
         if (at != links_.end()) traffic_.sent(out.message.at("k"), at->second->send(out.message));
     }
-    void carry(ToSelf& out) { member_.voteStored(out.reply, transport::steadyNow()); }
-    void carry(ToDisk& out) {
+    void dispatch(ToSelf& out) { member_.voteStored(out.reply, transport::steadyNow()); }
+    void dispatch(ToDisk& out) {
         lastWrite_ = gate_.written(transport::steadyNow());
         toDisk_[out.name] = std::move(out.body);
     }
-    void carry(ToCaller& out) {
+    void dispatch(ToCaller& out) {
         const Reply reply = replyOf(out.kind);
         http_.answer(out.call, reply.status,
                      out.body.empty() ? nlohmann::json{{"fault", reply.text}}.dump() : out.body,
                      out.location);
     }
-    void carry(ToLog& out) { spdlog::info("{}", out.line); }
-    void carry(ToStore& out) {
+    void dispatch(ToLog& out) { spdlog::info("{}", out.line); }
+    void dispatch(ToStore& out) {
         transport::storeCall(
             loop_, transport::endpointOf(out.address), out.service, out.store, out.text, out.within_ms,
-            [this, ask = out.ask](std::optional<std::string> row) {
-                member_.storeAnswered(ask, row ? readRow(*row) : std::nullopt, transport::steadyNow());
-                carryOut();
+            [this, requestId = out.ask](std::optional<std::string> fields) {
+                member_.storeAnswered(requestId, fields ? parseStoreStatus(*fields) : std::nullopt,
+                                      transport::steadyNow());
+                dispatchOutputs();
             },
             [notAfter = out.notAfter] { return transport::steadyNow() < notAfter; });
     }
-    void carry(ToPlatform& out) {
+    void dispatch(ToPlatform& out) {
         transport::httpCall(
             loop_, transport::endpointOf(settings_.platform), "POST", "/promotions",
             {{"X-Duty-Holder", settings_.station}, {"X-Fence-Number", std::to_string(out.fence)}},
             nlohmann::json{{"depot", out.service}, {"store_id", out.store}}.dump(), out.within_ms,
-            [this, ask = out.ask](int status) {
-                member_.platformAnswered(ask, promotionAnswerOf(status), transport::steadyNow());
-                carryOut();
+            [this, requestId = out.ask](int status) {
+                member_.platformAnswered(requestId, promotionOutcomeOf(status), transport::steadyNow());
+                dispatchOutputs();
             },
             [notAfter = out.notAfter] { return transport::steadyNow() < notAfter; });
     }
 
-    struct Dialled {
+    struct DialledMember {
         int link = 0;  // 0: none; -1: being made
-        Nanos notBefore = 0;
+        Nanos nextAttemptAt = 0;
     };
     const settings::Settings settings_;
     const std::string settingsPath_;
@@ -264,13 +267,13 @@
     bool diskRefuses_ = false;
     int exitCode_ = EXIT_SUCCESS;
     DiskWriter writer_;
-    asio::steady_timer ticker_, lastAnswers_;
+    asio::steady_timer tickTimer_, lastAnswersTimer_;
     bool leaving_ = false, ending_ = false;
     asio::signal_set signals_;
     std::map<int, std::shared_ptr<Link>> links_;
     transport::Traffic traffic_;
-    std::map<std::string, Dialled> dialled_;
-    int lastLink_ = 0;
+    std::map<std::string, DialledMember> dialledMembers_;
+    int lastLinkId_ = 0;
     transport::Listener listener_;
     transport::HttpServer http_;
 };
--- a/src/control/replica_ages.cpp
+++ b/src/control/replica_ages.cpp
@@ -4,19 +4,19 @@
 
 namespace granitereel::control {
 
-void ReplicaAges::note(const YoungReplicas& onRecord, Nanos now) {
-    std::erase_if(seen_, [&](const auto& each) { return !onRecord.count(each.first); });
-    for (const auto& [replica, told] : onRecord) {
-        const auto [at, first] = seen_.try_emplace(replica, Seen{told, now});
-        if (!first && told > age(replica, now)) at->second = {told, now};
+void ReplicaAges::update(const RecentReplicas& onRecord, Nanos now) {
+    std::erase_if(observations_, [&](const auto& each) { return !onRecord.count(each.first); });
+    for (const auto& [replica, recordedAge] : onRecord) {
+        const auto [entry, inserted] = observations_.try_emplace(replica, Observation{recordedAge, now});
+        if (!inserted && recordedAge > age(replica, now)) entry->second = {recordedAge, now};
     }
 }
 
 unsigned ReplicaAges::age(const std::string& replica, Nanos now) const {
-    const auto found = seen_.find(replica);
-    if (found == seen_.end()) return 0;
-    const auto passed = static_cast<unsigned>(std::max<Nanos>(0, now - found->second.since) / step);
-    return std::min(grownUp, found->second.age + passed);
+    const auto found = observations_.find(replica);
+    if (found == observations_.end()) return 0;
+    const auto stepsElapsed = static_cast<unsigned>(std::max<Nanos>(0, now - found->second.since) / ageStep);
+    return std::min(establishedAge, found->second.age + stepsElapsed);
 }
 
 }  // namespace granitereel::control
--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -14,26 +14,26 @@
 namespace granitereel::control {
 
 // Replicas that a proxy may not know of yet, with their ages in steps.
-using YoungReplicas = std::map<std::string, unsigned>;
+using RecentReplicas = std::map<std::string, unsigned>;
 
 class ReplicaAges {
 public:
     // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
     // that counts from a lease before and whose clock is slow.
-    static constexpr unsigned grownUp = 3;
-    static constexpr Nanos step = (board::recordsRestedOnFor + millis(5000)) / grownUp;
+    static constexpr unsigned establishedAge = 3;
+    static constexpr Nanos ageStep = (board::recordsRestedOnFor + millis(5000)) / establishedAge;
 
     // What the record says now.
-    void note(const YoungReplicas& onRecord, Nanos now);
+    void update(const RecentReplicas& onRecord, Nanos now);
     // In steps, at most `grownUp`; 0: not seen on record yet.
     unsigned age(const std::string& replica, Nanos now) const;
 
 private:
-    struct Seen {
+    struct Observation {
         unsigned age = 0;  // at `since`, in steps
         Nanos since = 0;
     };
-    std::map<std::string, Seen> seen_;
+    std::map<std::string, Observation> observations_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -11,46 +11,53 @@
 constexpr const char* accepting = "accepting";
 constexpr const char* windingDown = "winding_down";
 // Puts a tombstone above what others may at the same time make of a call of the store.
-constexpr std::uint64_t aboveCalls = 1'000'000;
+constexpr std::uint64_t tombstoneOffset = 1'000'000;
 
 std::string recordName(const std::string& id) {
     return "store/" + id;
 }
 
 // `coldLeft_ms` as it was at the change: it alone differs between the calls of a life that say the same.
-Json recordBody(const StoreCall& said, std::uint64_t since, std::int64_t coldLeft_ms) {
-    return {{"cold_left_ms", coldLeft_ms}, {"service", said.service}, {"address", said.address},
-            {"district", said.district},   {"edition", said.edition}, {"berths", said.berths},
-            {"standing", said.standing},   {"role", said.role},       {"life", since}};
+Json recordBody(const StoreRegistration& registration, std::uint64_t startedAtVersion,
+                std::int64_t warmUpLeft_ms) {
+    return {{"cold_left_ms", warmUpLeft_ms},
+            {"service", registration.service},
+            {"address", registration.address},
+            {"district", registration.district},
+            {"edition", registration.softwareVersion},
+            {"berths", registration.connectionSlots},
+            {"standing", registration.status},
+            {"role", registration.role},
+            {"life", startedAtVersion}};
 }
 
-std::int64_t coldLeftOf(const board::Record& record) {
+std::int64_t warmUpLeftOf(const board::Record& record) {
     return record.body.is_object() ? record.body.value("cold_left_ms", std::int64_t(0)) : 0;
 }
 
-std::uint64_t lifeOf(const board::Record& record) {
+std::uint64_t incarnationOf(const board::Record& record) {
     return record.body.is_object() ? record.body.value("life", std::uint64_t(0)) : 0;
 }
 
-bool leaving(const board::Record& record) {
+bool isLeaving(const board::Record& record) {
     return record.body.is_null() || record.body.value("standing", "") == windingDown;
 }
 }  // namespace
 
-StoreCall StoreCall::fromJson(const std::string& id, const std::string& body) {
-    const Json told = Json::parse(body);
-    StoreCall said;
-    said.id = id;
-    told.at("depot").get_to(said.service);
-    told.at("address").get_to(said.address);
-    said.district = told.value("district", "");
-    said.edition = told.value("edition", "");
-    said.standing = told.value("standing", accepting);
-    said.role = told.value("db_role", "");
-    said.berths = told.value("berths", std::int64_t(0));
-    said.coldLeft_ms = told.value("cold_left_ms", std::int64_t(0));
-    said.number = told.value("call_seq", std::uint64_t(0));
-    return said;
+StoreRegistration StoreRegistration::fromJson(const std::string& id, const std::string& body) {
+    const Json fields = Json::parse(body);
+    StoreRegistration registration;
+    registration.id = id;
+    fields.at("depot").get_to(registration.service);
+    fields.at("address").get_to(registration.address);
+    registration.district = fields.value("district", "");
+    registration.softwareVersion = fields.value("edition", "");
+    registration.status = fields.value("standing", accepting);
+    registration.role = fields.value("db_role", "");
+    registration.connectionSlots = fields.value("berths", std::int64_t(0));
+    registration.warmUpLeft_ms = fields.value("cold_left_ms", std::int64_t(0));
+    registration.number = fields.value("call_seq", std::uint64_t(0));
+    return registration;
 }
 
 namespace {
@@ -59,250 +66,270 @@
 }
 }  // namespace
 
-Json StoreRecordReplicate::toJson() const {
-    return {{"k", kind}, {"life", life}, {"number", number}, {"record", recordToJson(name, record)}};
+Json StoreReplicationRequest::toJson() const {
+    return {{"k", kind},
+            {"life", processIncarnation},
+            {"number", number},
+            {"record", recordToJson(name, record)}};
 }
 
-StoreRecordReplicate StoreRecordReplicate::fromJson(const Json& message) {
-    board::RecordUpdate told = board::RecordUpdate::fromJson(message.at("record"));
-    return {message.at("life"), message.at("number"), std::move(told.name),
-            board::Record{told.version, std::move(told.body)}};
+StoreReplicationRequest StoreReplicationRequest::fromJson(const Json& message) {
+    board::RecordUpdate update = board::RecordUpdate::fromJson(message.at("record"));
+    return {message.at("life"), message.at("number"), std::move(update.name),
+            board::Record{update.version, std::move(update.body)}};
 }
 
-Json StoreRecordHeld::toJson() const {
-    Json message{{"k", kind}, {"life", life}, {"number", number}};
+Json StoreReplicationReply::toJson() const {
+    Json message{{"k", kind}, {"life", processIncarnation}, {"number", number}};
     if (other) message["other"] = recordToJson("", *other);
     return message;
 }
 
-StoreRecordHeld StoreRecordHeld::fromJson(const Json& message) {
-    StoreRecordHeld answer{message.at("life"), message.at("number"), std::nullopt};
+StoreReplicationReply StoreReplicationReply::fromJson(const Json& message) {
+    StoreReplicationReply answer{message.at("life"), message.at("number"), std::nullopt};
     if (message.contains("other")) {
-        board::RecordUpdate told = board::RecordUpdate::fromJson(message.at("other"));
-        answer.other = board::Record{told.version, std::move(told.body)};
+        board::RecordUpdate update = board::RecordUpdate::fromJson(message.at("other"));
+        answer.other = board::Record{update.version, std::move(update.body)};
     }
     return answer;
 }
 
-StoreRegistry::StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means,
-                             Nanos now)
+StoreRegistry::StoreRegistry(std::string self, std::string processIncarnation, std::int64_t beatInterval_ms,
+                             Host& host, Nanos now)
     : self_(std::move(self)),
-      life_(std::move(life)),
-      lateAfter_(lateBeats * millis(beatInterval_ms)),
-      means_(means),
+      processIncarnation_(std::move(processIncarnation)),
+      heartbeatTimeout_(maxMissedHeartbeats * millis(beatInterval_ms)),
+      host_(host),
       startedAt_(now),
-      tickedAt_(now),
-      forgotAt_(now) {}
+      lastTickAt_(now),
+      lastDropAt_(now) {}
 
-void StoreRegistry::called(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
-    take(call, said, until, now);
+void StoreRegistry::registerStore(std::uint64_t call, const StoreRegistration& registration, Nanos deadline,
+                                  Nanos now) {
+    handleRegistration(call, registration, deadline, now);
 }
 
-void StoreRegistry::left(std::uint64_t call, const std::string& id, Nanos until, Nanos now) {
-    takeLeft(call, recordName(id), until, now);
+void StoreRegistry::deregisterStore(std::uint64_t call, const std::string& id, Nanos deadline, Nanos now) {
+    handleDeregistration(call, recordName(id), deadline, now);
 }
 
 // Whether a call whose number is not above the known one, or that follows a tombstone, is of a later life: no
 // call of the known life can still be under way, or the store's slow start ends later than that life's did.
-bool StoreRegistry::startedAnew(const StoreCall& said, const Life& life, Nanos now) const {
-    if (now - life.heardAt >= lateAfter_) return true;
-    const Nanos warmAt = now + millis(said.coldLeft_ms);
-    return said.coldLeft_ms > 0 && life.warmAt && warmAt > *life.warmAt + lateAfter_;
+bool StoreRegistry::isNewIncarnation(const StoreRegistration& registration, const Incarnation& incarnation,
+                                     Nanos now) const {
+    if (now - incarnation.lastHeartbeatAt >= heartbeatTimeout_) return true;
+    const Nanos warmAt = now + millis(registration.warmUpLeft_ms);
+    return registration.warmUpLeft_ms > 0 && incarnation.warmAt &&
+           warmAt > *incarnation.warmAt + heartbeatTimeout_;
 }
 
-StoreRegistry::Verdict StoreRegistry::judge(const StoreCall& said, const board::Record* known,
-                                            Nanos now) const {
-    const auto found = lives_.find(recordName(said.id));
-    if (!known || found == lives_.end()) return Verdict::newLife;
-    const Life& life = found->second;
-    const bool sameProcess = said.address == life.address && said.edition == life.edition;
-    if (!sameProcess && !life.address.empty()) {
-        const bool former = said.address == life.formerAddress && said.edition == life.formerEdition;
-        return former && now < life.formerUntil ? Verdict::overtaken : Verdict::newLife;
+StoreRegistry::Verdict StoreRegistry::classify(const StoreRegistration& registration,
+                                               const board::Record* known, Nanos now) const {
+    const auto found = incarnations_.find(recordName(registration.id));
+    if (!known || found == incarnations_.end()) return Verdict::newIncarnation;
+    const Incarnation& incarnation = found->second;
+    const bool sameProcess = registration.address == incarnation.address &&
+                             registration.softwareVersion == incarnation.softwareVersion;
+    if (!sameProcess && !incarnation.address.empty()) {
+        const bool previous = registration.address == incarnation.previousAddress &&
+                              registration.softwareVersion == incarnation.previousSoftwareVersion;
+        return previous && now < incarnation.previousUntil ? Verdict::outdated : Verdict::newIncarnation;
     }
-    const bool gone = known->body.is_null();
+    const bool deregistered = known->body.is_null();
     // What may be gone elsewhere is put anew, above what stands.
-    const bool certain = !gone && !means_.unconfirmed(recordName(said.id));
-    const bool same = certain && known->body == recordBody(said, lifeOf(*known), coldLeftOf(*known));
+    const bool confirmed = !deregistered && !host_.unconfirmed(recordName(registration.id));
+    const bool same =
+        confirmed && known->body == recordBody(registration, incarnationOf(*known), warmUpLeftOf(*known));
     // The number alone: this very call may have been heard before it was found that the record was behind.
-    if (gone || said.number < life.number || said.number <= known->version.minor) {
-        if (startedAnew(said, life, now)) return Verdict::newLife;
-        return same ? Verdict::unchanged : Verdict::overtaken;
+    if (deregistered || registration.number < incarnation.number ||
+        registration.number <= known->version.minor) {
+        if (isNewIncarnation(registration, incarnation, now)) return Verdict::newIncarnation;
+        return same ? Verdict::unchanged : Verdict::outdated;
     }
     return same ? Verdict::unchanged : Verdict::changed;
 }
 
-void StoreRegistry::begin(const StoreCall& said, std::uint64_t since, Nanos now) {
-    Life& life = lives_[recordName(said.id)];
-    if (life.address != said.address || life.edition != said.edition) {
-        life.formerAddress = std::exchange(life.address, said.address);
-        life.formerEdition = std::exchange(life.edition, said.edition);
-        life.formerUntil = now + lateAfter_;
+void StoreRegistry::beginIncarnation(const StoreRegistration& registration, std::uint64_t startedAtVersion,
+                                     Nanos now) {
+    Incarnation& incarnation = incarnations_[recordName(registration.id)];
+    if (incarnation.address != registration.address ||
+        incarnation.softwareVersion != registration.softwareVersion) {
+        incarnation.previousAddress = std::exchange(incarnation.address, registration.address);
+        incarnation.previousSoftwareVersion =
+            std::exchange(incarnation.softwareVersion, registration.softwareVersion);
+        incarnation.previousUntil = now + heartbeatTimeout_;
     }
-    life.since = since;
-    life.number = 0;
-    life.warmAt.reset();
+    incarnation.startedAtVersion = startedAtVersion;
+    incarnation.number = 0;
+    incarnation.warmAt.reset();
 }
 
-void StoreRegistry::take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now) {
-    const std::string name = recordName(said.id);
-    const board::Record* known = means_.board().find(name);
-    const Verdict verdict = judge(said, known, now);
+void StoreRegistry::handleRegistration(std::uint64_t call, const StoreRegistration& registration,
+                                       Nanos deadline, Nanos now) {
+    const std::string name = recordName(registration.id);
+    const board::Record* known = host_.board().find(name);
+    const Verdict verdict = classify(registration, known, now);
     const std::uint64_t major = known ? known->version.major + 1 : 1;
-    if (verdict == Verdict::newLife) begin(said, major, now);
-    if (verdict != Verdict::overtaken) {
-        Life& life = lives_[name];
-        if (said.number > life.number || verdict == Verdict::newLife) {
-            life.number = said.number;
-            life.heardAt = now;
+    if (verdict == Verdict::newIncarnation) beginIncarnation(registration, major, now);
+    if (verdict != Verdict::outdated) {
+        Incarnation& incarnation = incarnations_[name];
+        if (registration.number > incarnation.number || verdict == Verdict::newIncarnation) {
+            incarnation.number = registration.number;
+            incarnation.lastHeartbeatAt = now;
         }
-        life.slowUntil(now + millis(said.coldLeft_ms));
+        incarnation.setWarmAt(now + millis(registration.warmUpLeft_ms));
     }
-    if (verdict == Verdict::changed || verdict == Verdict::newLife) {
-        const Json body = recordBody(said, lives_[name].since, said.coldLeft_ms);
-        means_.putRecord(name, {{major, said.number}, body});
-    } else if (said.standing != windingDown) {
+    if (verdict == Verdict::changed || verdict == Verdict::newIncarnation) {
+        const Json body =
+            recordBody(registration, incarnations_[name].startedAtVersion, registration.warmUpLeft_ms);
+        host_.putRecord(name, {{major, registration.number}, body});
+    } else if (registration.status != windingDown) {
         // Said again, or overtaken: nothing hangs on who holds it.
-        return means_.answerStore(call, Kind::taken);
-    } else if (!leaving(*known)) {
+        return host_.answerStore(call, Kind::taken);
+    } else if (!isLeaving(*known)) {
         // Overtaken, or of a new life that can't be told yet: it says again that it leaves.
-        return means_.answerStore(call, Kind::unready);
+        return host_.answerStore(call, Kind::unready);
     }
-    confirm({call, said, name, *means_.board().find(name), {}, until, now}, now);
+    replicateToMajority({call, registration, name, *host_.board().find(name), {}, deadline, now}, now);
 }
 
-void StoreRegistry::takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now) {
-    const board::Record* known = means_.board().find(name);
+void StoreRegistry::handleDeregistration(std::uint64_t call, const std::string& name, Nanos deadline,
+                                         Nanos now) {
+    const board::Record* known = host_.board().find(name);
     if (known && !known->body.is_null())
-        means_.putRecord(name, {{known->version.major + 1, known->version.minor + aboveCalls}, nullptr});
-    known = means_.board().find(name);
+        host_.putRecord(name, {{known->version.major + 1, known->version.minor + tombstoneOffset}, nullptr});
+    known = host_.board().find(name);
     // Of a store that is not known here the others are asked.
-    confirm({call, std::nullopt, name, known ? *known : board::Record(), {}, until, now}, now);
+    replicateToMajority({call, std::nullopt, name, known ? *known : board::Record(), {}, deadline, now}, now);
 }
 
-void StoreRegistry::confirm(Pending pending, Nanos now) {
-    const auto seen = confirmed_.find(pending.name);
-    if (seen != confirmed_.end() && seen->second == pending.record.version)
-        return means_.answerStore(pending.call, Kind::taken);
-    if (remembers(now)) pending.holders.insert(self_);
+void StoreRegistry::replicateToMajority(Pending pending, Nanos now) {
+    const auto seen = majorityHolds_.find(pending.name);
+    if (seen != majorityHolds_.end() && seen->second == pending.record.version)
+        return host_.answerStore(pending.call, Kind::taken);
+    if (recordsComplete(now)) pending.holders.insert(self_);
     const std::uint64_t number = nextNumber_++;
-    Pending& stands = pending_[number] = std::move(pending);
-    ask(number, stands, now);
-    settle(number);
+    Pending& added = pending_[number] = std::move(pending);
+    sendToVoters(number, added, now);
+    completeIfHeldByMajority(number);
 }
 
-void StoreRegistry::ask(std::uint64_t number, Pending& pending, Nanos now) {
-    pending.askedAt = now;
-    const Json message = StoreRecordReplicate{life_, number, pending.name, pending.record}.toJson();
-    for (const std::string& voter : means_.core().voters)
-        if (voter != self_ && !pending.holders.count(voter)) means_.sendTo(voter, message);
+void StoreRegistry::sendToVoters(std::uint64_t number, Pending& pending, Nanos now) {
+    pending.sentAt = now;
+    const Json message =
+        StoreReplicationRequest{processIncarnation_, number, pending.name, pending.record}.toJson();
+    for (const std::string& voter : host_.core().voters)
+        if (voter != self_ && !pending.holders.count(voter)) host_.sendTo(voter, message);
 }
 
 // Answers the store where a majority of the present voters holds its record.
-bool StoreRegistry::settle(std::uint64_t number) {
+bool StoreRegistry::completeIfHeldByMajority(std::uint64_t number) {
     const Pending& pending = pending_.at(number);
-    const Core& core = means_.core();
+    const Core& core = host_.core();
     const auto count =
         std::count_if(pending.holders.begin(), pending.holders.end(),
                       [&](const std::string& holder) { return core.voters.count(holder) > 0; });
     if (!core.epoch || static_cast<std::size_t>(count) < core.majority()) return false;
     // That no store is known is true for the moment of asking only.
-    if (pending.record.version != board::Version()) confirmed_[pending.name] = pending.record.version;
-    means_.answerStore(pending.call, Kind::taken);
+    if (pending.record.version != board::Version()) majorityHolds_[pending.name] = pending.record.version;
+    host_.answerStore(pending.call, Kind::taken);
     pending_.erase(number);
     return true;
 }
 
 // A member that started has forgotten what it held: it counts as a holder only once it has the boards of
 // those that may hold it.
-bool StoreRegistry::remembers(Nanos now) const {
-    const Core& core = means_.core();
+bool StoreRegistry::recordsComplete(Nanos now) const {
+    const Core& core = host_.core();
     if (!core.epoch) return false;
-    std::size_t heard = 0;
-    for (const std::string& voter : boardsHeard_) heard += voter != self_ && core.voters.count(voter);
-    const std::size_t others = core.voters.size() - core.voters.count(self_);
-    if (heard >= std::min(core.majority(), others)) return true;
-    return heard + 1 >= core.majority() && now - startedAt_ >= boardsWithin;
+    std::size_t received = 0;
+    for (const std::string& voter : recordsReceived_) received += voter != self_ && core.voters.count(voter);
+    const std::size_t otherVoters = core.voters.size() - core.voters.count(self_);
+    if (received >= std::min(core.majority(), otherVoters)) return true;
+    return received + 1 >= core.majority() && now - startedAt_ >= recordsTimeout;
 }
 
-std::optional<StoreRecordHeld> StoreRegistry::hold(const StoreRecordReplicate& asked, Nanos now) {
-    if (asked.record.version != board::Version()) means_.putRecord(asked.name, asked.record);
-    if (!remembers(now)) return std::nullopt;
-    const board::Record* stands = means_.board().find(asked.name);
-    const board::Record holds = stands ? *stands : board::Record();
-    if (holds.version == asked.record.version && holds.body == asked.record.body)
-        return StoreRecordHeld{asked.life, asked.number, std::nullopt};
-    return StoreRecordHeld{asked.life, asked.number, holds};
+std::optional<StoreReplicationReply> StoreRegistry::replicate(const StoreReplicationRequest& request,
+                                                              Nanos now) {
+    if (request.record.version != board::Version()) host_.putRecord(request.name, request.record);
+    if (!recordsComplete(now)) return std::nullopt;
+    const board::Record* current = host_.board().find(request.name);
+    const board::Record present = current ? *current : board::Record();
+    if (present.version == request.record.version && present.body == request.record.body)
+        return StoreReplicationReply{request.processIncarnation, request.number, std::nullopt};
+    return StoreReplicationReply{request.processIncarnation, request.number, present};
 }
 
-void StoreRegistry::held(const std::string& voter, const StoreRecordHeld& answer, Nanos now) {
+void StoreRegistry::replicationAnswered(const std::string& voter, const StoreReplicationReply& answer,
+                                        Nanos now) {
     const auto found = pending_.find(answer.number);
-    if (answer.life != life_ || found == pending_.end()) return;
+    if (answer.processIncarnation != processIncarnation_ || found == pending_.end()) return;
     if (!answer.other) {
         found->second.holders.insert(voter);
-        settle(answer.number);
+        completeIfHeldByMajority(answer.number);
         return;
     }
     // Another record stands there: the call is judged again by it.
-    const Pending again = std::move(found->second);
+    const Pending retried = std::move(found->second);
     pending_.erase(found);
-    if (answer.other->version == again.record.version) {
+    if (answer.other->version == retried.record.version) {
         // Two bodies under one version: the one that is asked for here goes above both.
-        const board::Version above{again.record.version.major + 1, again.record.version.minor};
-        means_.putRecord(again.name, {above, again.record.body});
+        const board::Version above{retried.record.version.major + 1, retried.record.version.minor};
+        host_.putRecord(retried.name, {above, retried.record.body});
     } else {
-        means_.putRecord(again.name, *answer.other);
+        host_.putRecord(retried.name, *answer.other);
     }
-    if (again.said)
-        take(again.call, *again.said, again.until, now);
+    if (retried.registration)
+        handleRegistration(retried.call, *retried.registration, retried.deadline, now);
     else
-        takeLeft(again.call, again.name, again.until, now);
+        handleDeregistration(retried.call, retried.name, retried.deadline, now);
 }
 
-void StoreRegistry::news(const std::string& name, const board::Record& record, Nanos now) {
+void StoreRegistry::recordChanged(const std::string& name, const board::Record& record, Nanos now) {
     if (!name.starts_with("store/")) return;
-    Life& life = lives_[name];
-    life.heardAt = now;
+    Incarnation& incarnation = incarnations_[name];
+    incarnation.lastHeartbeatAt = now;
     if (!record.body.is_object()) return;
-    const std::string address = record.body.value("address", ""), edition = record.body.value("edition", "");
-    const std::uint64_t since = lifeOf(record);
-    if (life.since != since) {
-        StoreCall said;
-        said.id = name.substr(std::string("store/").size());
-        said.address = address;
-        said.edition = edition;
-        begin(said, since, now);
+    const std::string address = record.body.value("address", ""),
+                      softwareVersion = record.body.value("edition", "");
+    const std::uint64_t startedAtVersion = incarnationOf(record);
+    if (incarnation.startedAtVersion != startedAtVersion) {
+        StoreRegistration registration;
+        registration.id = name.substr(std::string("store/").size());
+        registration.address = address;
+        registration.softwareVersion = softwareVersion;
+        beginIncarnation(registration, startedAtVersion, now);
     }
-    life.number = std::max(life.number, record.version.minor);
-    life.slowUntil(now + millis(coldLeftOf(record)));
+    incarnation.number = std::max(incarnation.number, record.version.minor);
+    incarnation.setWarmAt(now + millis(warmUpLeftOf(record)));
 }
 
 // What the board has dropped altogether is dropped here too.
-void StoreRegistry::forgetUnknown(Nanos now) {
-    if (now - forgotAt_ < lateAfter_) return;
-    forgotAt_ = now;
-    const auto unknown = [this](const auto& each) { return !means_.board().find(each.first); };
-    std::erase_if(lives_, unknown);
-    std::erase_if(confirmed_, unknown);
+void StoreRegistry::dropUnknownStores(Nanos now) {
+    if (now - lastDropAt_ < heartbeatTimeout_) return;
+    lastDropAt_ = now;
+    const auto unknown = [this](const auto& each) { return !host_.board().find(each.first); };
+    std::erase_if(incarnations_, unknown);
+    std::erase_if(majorityHolds_, unknown);
 }
 
 void StoreRegistry::tick(Nanos now) {
     // What came in while this process stood still is younger than it seems.
-    if (now - tickedAt_ > stalled)
-        for (auto& [name, life] : lives_) life.heardAt = now;
-    tickedAt_ = now;
-    forgetUnknown(now);
-    std::vector<std::uint64_t> over;
+    if (now - lastTickAt_ > stallThreshold)
+        for (auto& [name, incarnation] : incarnations_) incarnation.lastHeartbeatAt = now;
+    lastTickAt_ = now;
+    dropUnknownStores(now);
+    std::vector<std::uint64_t> expired;
     for (auto& [number, pending] : pending_) {
-        if (now >= pending.until)
-            over.push_back(number);
-        else if (now - pending.askedAt >= askAgain)
-            ask(number, pending, now);
+        if (now >= pending.deadline)
+            expired.push_back(number);
+        else if (now - pending.sentAt >= retryInterval)
+            sendToVoters(number, pending, now);
     }
-    for (const std::uint64_t number : over) {
+    for (const std::uint64_t number : expired) {
         const std::uint64_t call = pending_.at(number).call;
         pending_.erase(number);
-        means_.answerStore(call, Kind::noMajority);
+        host_.answerStore(call, Kind::noMajority);
     }
 }
 
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -20,43 +20,43 @@
 namespace granitereel::control {
 
 // The body of PUT /stores/ID.
-struct StoreCall {
-    std::string id, service, address, district, edition, standing, role;
-    std::int64_t berths = 0;
-    std::int64_t coldLeft_ms = 0;  // how much longer the store is slow from its start
-    std::uint64_t number = 0;      // rises with each call of one life of the store
+struct StoreRegistration {
+    std::string id, service, address, district, softwareVersion, status, role;
+    std::int64_t connectionSlots = 0;
+    std::int64_t warmUpLeft_ms = 0;  // how much longer the store is slow from its start
+    std::uint64_t number = 0;        // rises with each call of one life of the store
     // Throws nlohmann::json::exception where the body is not of this form.
-    static StoreCall fromJson(const std::string& id, const std::string& body);
+    static StoreRegistration fromJson(const std::string& id, const std::string& body);
 };
 
 // Asks a voter to hold a store's record in memory. The version 0.0 asks only what it holds.
-struct StoreRecordReplicate {
+struct StoreReplicationRequest {
     static constexpr const char* kind = "store_record_replicate";
-    std::string life;          // of the asking process
-    std::uint64_t number = 0;  // of the question within that life
+    std::string processIncarnation;  // of the asking process
+    std::uint64_t number = 0;        // of the question within that life
     std::string name;
     board::Record record;
     Json toJson() const;
     // Throws nlohmann::json::exception where it is not of this form.
-    static StoreRecordReplicate fromJson(const Json& message);
+    static StoreReplicationRequest fromJson(const Json& message);
 };
 
 // The answer to StoreRecordReplicate: the record is held, or another of a version not below it stands.
-struct StoreRecordHeld {
+struct StoreReplicationReply {
     static constexpr const char* kind = "store_record_held";
-    std::string life;
+    std::string processIncarnation;
     std::uint64_t number = 0;
     std::optional<board::Record> other;  // none: held
     Json toJson() const;
     // Throws nlohmann::json::exception where it is not of this form.
-    static StoreRecordHeld fromJson(const Json& message);
+    static StoreReplicationReply fromJson(const Json& message);
 };
 
 class StoreRegistry {
 public:
     // What the registry needs of the member it belongs to.
-    struct Means {
-        virtual ~Means() = default;
+    struct Host {
+        virtual ~Host() = default;
         virtual const board::Board& board() const = 0;
         // A record for all; those of a version not above the one that stands change nothing.
         virtual void putRecord(const std::string& name, board::Record record) = 0;
@@ -67,71 +67,74 @@
         virtual void answerStore(std::uint64_t call, Kind kind) = 0;
     };
     // `life`: differs from that of every other process whose answers could come in.
-    StoreRegistry(std::string self, std::string life, std::int64_t beatInterval_ms, Means& means, Nanos now);
+    StoreRegistry(std::string self, std::string processIncarnation, std::int64_t beatInterval_ms, Host& host,
+                  Nanos now);
 
     // Calls of stores, to be passed on only while the member holds a lease. What no majority holds by `until`
     // is answered as failed.
-    void called(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now);
-    void left(std::uint64_t call, const std::string& id, Nanos until, Nanos now);
+    void registerStore(std::uint64_t call, const StoreRegistration& registration, Nanos deadline, Nanos now);
+    void deregisterStore(std::uint64_t call, const std::string& id, Nanos deadline, Nanos now);
     // A question of another member. None: not to be answered, as this member may have forgotten what it held.
-    std::optional<StoreRecordHeld> hold(const StoreRecordReplicate& asked, Nanos now);
-    void held(const std::string& voter, const StoreRecordHeld& answer, Nanos now);
+    std::optional<StoreReplicationReply> replicate(const StoreReplicationRequest& request, Nanos now);
+    void replicationAnswered(const std::string& voter, const StoreReplicationReply& answer, Nanos now);
     // The whole board of this voter has been heard.
-    void boardHeardFrom(const std::string& voter) { boardsHeard_.insert(voter); }
-    void news(const std::string& name, const board::Record& record, Nanos now);
+    void recordsReceivedFrom(const std::string& voter) { recordsReceived_.insert(voter); }
+    void recordChanged(const std::string& name, const board::Record& record, Nanos now);
     void tick(Nanos now);
 
     // The longest that a call is counted for.
-    static constexpr Nanos heldWithin = millis(850);
+    static constexpr Nanos maxPendingTime = millis(850);
     // A question that was not answered is sent again; what it asks is the same.
-    static constexpr Nanos askAgain = millis(250);
+    static constexpr Nanos retryInterval = millis(250);
     // Where a majority of the others does not come, a member that started answers for a majority that counts
     // itself, once all that was asked before its start has ended and links were made anew.
-    static constexpr Nanos boardsWithin = heldWithin + millis(700);
+    static constexpr Nanos recordsTimeout = maxPendingTime + millis(700);
     // A call of one life of a store that is under way for so many beats is taken to have been lost.
-    static constexpr int lateBeats = 5;
+    static constexpr int maxMissedHeartbeats = 5;
     // A process that did nothing for longer can't tell a store's silence from its own.
-    static constexpr Nanos stalled = millis(1000);
+    static constexpr Nanos stallThreshold = millis(1000);
 
 private:
-    enum class Verdict { unchanged, overtaken, changed, newLife };
+    enum class Verdict { unchanged, outdated, changed, newIncarnation };
     // What this member saw of the present life of a store.
-    struct Life {
-        std::string address, edition, formerAddress, formerEdition;
-        std::uint64_t since = 0;   // the version's major part at which the life began
-        std::uint64_t number = 0;  // the highest heard
-        Nanos heardAt = 0, formerUntil = 0;
+    struct Incarnation {
+        std::string address, softwareVersion, previousAddress, previousSoftwareVersion;
+        std::uint64_t startedAtVersion = 0;  // the version's major part at which the life began
+        std::uint64_t number = 0;            // the highest heard
+        Nanos lastHeartbeatAt = 0, previousUntil = 0;
         std::optional<Nanos> warmAt;  // when the store's slow start is over
-        void slowUntil(Nanos at) { warmAt = std::min(warmAt.value_or(at), at); }
+        void setWarmAt(Nanos at) { warmAt = std::min(warmAt.value_or(at), at); }
     };
     // A record whose holders are being counted, for a store that waits for its answer.
     struct Pending {
         std::uint64_t call = 0;
-        std::optional<StoreCall> said;  // none: the store leaves
+        std::optional<StoreRegistration> registration;  // none: the store leaves
         std::string name;
         board::Record record;
         std::set<std::string> holders;
-        Nanos until = 0, askedAt = 0;
+        Nanos deadline = 0, sentAt = 0;
     };
-    Verdict judge(const StoreCall& said, const board::Record* known, Nanos now) const;
-    bool startedAnew(const StoreCall& said, const Life& life, Nanos now) const;
-    void take(std::uint64_t call, const StoreCall& said, Nanos until, Nanos now);
-    void takeLeft(std::uint64_t call, const std::string& name, Nanos until, Nanos now);
-    void begin(const StoreCall& said, std::uint64_t since, Nanos now);
-    void confirm(Pending pending, Nanos now);
-    void ask(std::uint64_t number, Pending& pending, Nanos now);
-    bool settle(std::uint64_t number);
-    bool remembers(Nanos now) const;
-    void forgetUnknown(Nanos now);
+    Verdict classify(const StoreRegistration& registration, const board::Record* known, Nanos now) const;
+    bool isNewIncarnation(const StoreRegistration& registration, const Incarnation& incarnation,
+                          Nanos now) const;
+    void handleRegistration(std::uint64_t call, const StoreRegistration& registration, Nanos deadline,
+                            Nanos now);
+    void handleDeregistration(std::uint64_t call, const std::string& name, Nanos deadline, Nanos now);
+    void beginIncarnation(const StoreRegistration& registration, std::uint64_t startedAtVersion, Nanos now);
+    void replicateToMajority(Pending pending, Nanos now);
+    void sendToVoters(std::uint64_t number, Pending& pending, Nanos now);
+    bool completeIfHeldByMajority(std::uint64_t number);
+    bool recordsComplete(Nanos now) const;
+    void dropUnknownStores(Nanos now);
 
-    const std::string self_, life_;
-    const Nanos lateAfter_;
-    Means& means_;
+    const std::string self_, processIncarnation_;
+    const Nanos heartbeatTimeout_;
+    Host& host_;
     const Nanos startedAt_;
-    Nanos tickedAt_, forgotAt_;
-    std::set<std::string> boardsHeard_;
-    std::map<std::string, Life> lives_;                // by the record's name
-    std::map<std::string, board::Version> confirmed_;  // what a majority was seen to hold
+    Nanos lastTickAt_, lastDropAt_;
+    std::set<std::string> recordsReceived_;
+    std::map<std::string, Incarnation> incarnations_;      // by the record's name
+    std::map<std::string, board::Version> majorityHolds_;  // what a majority was seen to hold
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t nextNumber_ = 1;
 };
--- a/src/control/unsettled_leads.hpp
+++ b/src/control/unsettled_primaries.hpp
@@ -7,35 +7,35 @@
 #include <string>
 
 #include "board/board.hpp"
+#include "control/failover.hpp"
 #include "control/lease.hpp"
-#include "control/succession.hpp"
 
 namespace granitereel::control {
 
-class UnsettledLeads {
+class UnsettledPrimaries {
 public:
     // What this member's disk now holds accepted of a register; others than leads' are passed over.
-    void holds(const std::string& name, const Json& value);
+    void accepted(const std::string& name, const Json& value);
     // What a voter answered. It stands until the board has the change, or as long as a lease can rest on
     // that answer.
-    void told(const LeadMarks& marks, Nanos now);
+    void reported(const UnsettledSequences& sequences, Nanos now);
 
     // As this member answers a round: accepted here, and unsteady or newer than the board.
-    LeadMarks own(const board::Board& board) const;
+    UnsettledSequences acceptedLocally(const board::Board& board) const;
     // As it tells those under its lease: its own and those told.
-    LeadMarks all(const board::Board& board, Nanos now) const;
+    UnsettledSequences all(const board::Board& board, Nanos now) const;
 
 private:
-    struct Held {
+    struct Accepted {
         std::uint64_t sequence = 0;
-        bool steady = false;
+        bool settled = false;
     };
-    struct Told {
+    struct Reported {
         std::uint64_t sequence = 0;
-        Nanos until = 0;
+        Nanos expiresAt = 0;
     };
-    std::map<std::string, Held> held_;
-    std::map<std::string, Told> told_;
+    std::map<std::string, Accepted> accepted_;
+    std::map<std::string, Reported> reported_;
 };
 
 }  // namespace granitereel::control
--- a/src/mark.hpp
+++ b/src/log_position.hpp
@@ -9,12 +9,12 @@
 
 namespace granitereel {
 
-struct Mark {
+struct LogPosition {
     std::uint64_t term = 0, number = 0;
-    auto operator<=>(const Mark&) const = default;
+    auto operator<=>(const LogPosition&) const = default;
 };
 // None where the text is not of this form, as "-" is.
-std::optional<Mark> readMark(std::string_view text);
-std::string written(const Mark& mark);
+std::optional<LogPosition> parseLogPosition(std::string_view text);
+std::string toString(const LogPosition& position);
 
 }  // namespace granitereel
--- a/src/proxy/answer.cpp
+++ b/src/proxy/answer.cpp
@@ -8,7 +8,7 @@
     const std::string_view state = takeField(rest);
     if (state != "I" && state != "T" && state != "E") return false;
     into.state = state[0];
-    into.mark = readMark(rest);
+    into.mark = parseLogPosition(rest);
     return true;
 }
 
--- a/src/proxy/answer.hpp
+++ b/src/proxy/answer.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "proxy/wire.hpp"
 
 namespace granitereel::proxy {
@@ -18,7 +18,7 @@
     std::optional<Error> error;
     std::string errorText;
     char state = 'I';  // I, T or E
-    std::optional<Mark> mark;
+    std::optional<LogPosition> mark;
 };
 
 class AnswerReader {
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -173,7 +173,7 @@
     s.restsSince = now_;
     std::string bytes = answer.error ? errorLine(*answer.error, answer.errorText) : answer.rows + answer.done;
     bytes.append("READY ").append(1, state).append(" ");
-    bytes.append(answer.mark ? written(*answer.mark) : "-").append("\r\n");
+    bytes.append(answer.mark ? toString(*answer.mark) : "-").append("\r\n");
     outputs_.push_back(ToClient{s.client, std::move(bytes)});
     ++(answer.error ? counts_.promised : counts_.answered);
     if (!s.op->key.empty()) byKey_.erase(s.op->key);
--- a/src/proxy/horizon.cpp
+++ b/src/proxy/horizon.cpp
@@ -10,13 +10,13 @@
 constexpr std::size_t kept = 400;
 }  // namespace
 
-void Horizon::saw(const Mark& mark, Nanos asked) {
+void Horizon::saw(const LogPosition& mark, Nanos asked) {
     // Answers overtake each other: one to a later question may show less than one heard before, and covers
     // its moment all the same only with the greater of both.
     if (!pairs_.empty()) {
         Pair& last = pairs_.back();
         if (asked <= last.asked) return;
-        const Mark most = std::max(mark, last.mark);
+        const LogPosition most = std::max(mark, last.mark);
         if (asked - last.asked < apart && pairs_.size() > 1 &&
             asked - pairs_[pairs_.size() - 2].asked < apart) {
             last = {most, asked};
@@ -29,11 +29,11 @@
     if (pairs_.size() > kept) pairs_.pop_front();
 }
 
-std::optional<Mark> Horizon::covering(Nanos since) const {
+std::optional<LogPosition> Horizon::covering(Nanos since) const {
     return covering(since, 0);
 }
 
-std::optional<Mark> Horizon::covering(Nanos since, std::uint64_t term) const {
+std::optional<LogPosition> Horizon::covering(Nanos since, std::uint64_t term) const {
     auto at = std::lower_bound(pairs_.begin(), pairs_.end(), since,
                                [](const Pair& pair, Nanos when) { return pair.asked < when; });
     while (at != pairs_.end() && at->mark.term < term) ++at;
@@ -41,9 +41,9 @@
     return at->mark;
 }
 
-std::optional<Nanos> Horizon::holds(const Mark& mark) const {
+std::optional<Nanos> Horizon::holds(const LogPosition& mark) const {
     auto above = std::upper_bound(pairs_.begin(), pairs_.end(), mark,
-                                  [](const Mark& m, const Pair& pair) { return m < pair.mark; });
+                                  [](const LogPosition& m, const Pair& pair) { return m < pair.mark; });
     if (above == pairs_.begin()) return {};
     return std::prev(above)->asked;
 }
--- a/src/proxy/horizon.hpp
+++ b/src/proxy/horizon.hpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <optional>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanos.hpp"
 
 namespace granitereel::proxy {
@@ -15,21 +15,21 @@
 class Horizon {
 public:
     // All commits acknowledged before `asked` lie at or below `mark`.
-    void saw(const Mark& mark, Nanos asked);
+    void saw(const LogPosition& mark, Nanos asked);
     // The lowest position known to hold every commit acknowledged before `since`.
-    std::optional<Mark> covering(Nanos since) const;
+    std::optional<LogPosition> covering(Nanos since) const;
     // As that, and of this term or a later one.
-    std::optional<Mark> covering(Nanos since, std::uint64_t term) const;
+    std::optional<LogPosition> covering(Nanos since, std::uint64_t term) const;
     // Every commit acknowledged before this lies at or below the position; none: nothing of the kind is
     // known.
-    std::optional<Nanos> holds(const Mark& mark) const;
+    std::optional<Nanos> holds(const LogPosition& mark) const;
     // The latest moment for which anything is known.
     std::optional<Nanos> newest() const;
     bool empty() const { return pairs_.empty(); }
 
 private:
     struct Pair {
-        Mark mark;
+        LogPosition mark;
         Nanos asked;
     };
     std::deque<Pair> pairs_;  // both grow
--- a/src/proxy/lead_evidence.cpp
+++ b/src/proxy/lead_evidence.cpp
@@ -4,7 +4,7 @@
 
 namespace granitereel::proxy {
 
-void LeadEvidence::recorded(std::uint64_t term, std::optional<Mark> retained) {
+void LeadEvidence::recorded(std::uint64_t term, std::optional<LogPosition> retained) {
     retained_ = retained;
     if (term == term_) return;
     term_ = term;
--- a/src/proxy/lead_evidence.hpp
+++ b/src/proxy/lead_evidence.hpp
@@ -8,16 +8,16 @@
 #include <cstdint>
 #include <optional>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanos.hpp"
 
 namespace granitereel::proxy {
 
 // A write that its store has acknowledged, and whose client was not told yet.
 struct AcknowledgedWrite {
-    std::optional<Mark> position;  // of the store's log behind the write
-    std::uint64_t term = 0;        // in which the store led
-    Nanos answeredAt = 0;          // when the answer came
+    std::optional<LogPosition> position;  // of the store's log behind the write
+    std::uint64_t term = 0;               // in which the store led
+    Nanos answeredAt = 0;                 // when the answer came
 };
 
 // What becomes of an acknowledged write.
@@ -31,7 +31,7 @@
 public:
     // The record of the lead. `retained`: of the log of the lead before, what the present one had for certain
     // when it was promoted. A new term ends what was granted for the one before.
-    void recorded(std::uint64_t term, std::optional<Mark> retained);
+    void recorded(std::uint64_t term, std::optional<LogPosition> retained);
     // A lease under which the recorded lead is settled runs until then: until then no promotion counts what
     // the replicas have. It is never taken back, as leases aren't either.
     void settledUntil(Nanos until);
@@ -42,7 +42,7 @@
 
 private:
     std::uint64_t term_ = 0;
-    std::optional<Mark> retained_;
+    std::optional<LogPosition> retained_;
     Nanos settledUntil_ = 0;
 };
 
--- a/src/proxy/news.cpp
+++ b/src/proxy/news.cpp
@@ -157,7 +157,7 @@
     of.term = body.at("term");
     of.seq = body.at("seq");
     of.steady = body.at("steady");
-    of.evidence.recorded(of.term, readMark(body.value("retained", "")));
+    of.evidence.recorded(of.term, parseLogPosition(body.value("retained", "")));
     of.replicas.recorded(of.term, body.value("replicas", std::set<std::string>()));
     if (before != of.lead) leadChanged(of, before);
     judgeUnproven();
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -195,7 +195,7 @@
         std::optional<Tx> tx;
         std::optional<Op> op;
         Line* line = nullptr;  // pinned to
-        std::optional<Mark> own;
+        std::optional<LogPosition> own;
         Nanos ownAt = 0, restsSince = 0;
         std::deque<std::string> queue;
         std::size_t queued = 0;
@@ -286,7 +286,7 @@
     static Launched launchedOf(const Op& op) { return {op.key, op.launches - 1, op.launchedAt}; }
     // Tells Front how a launch ended, and whether the statement has had its final answer.
     void report(const Launched& launched, Store& store, Ending how, std::optional<Nanos> position, bool over);
-    void lags(Store& store, std::optional<Mark> mark);
+    void lags(Store& store, std::optional<LogPosition> mark);
     void release(Line& line, const std::string& abortId);
     void idle(Line& line);
     void drop(Line& line);
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -28,7 +28,7 @@
     }
     const Nanos came = s.tx ? s.tx->came : op.came;
     const Nanos since = came - millis(route->staleness_ms);
-    std::optional<Mark> need = of.horizon.covering(since);
+    std::optional<LogPosition> need = of.horizon.covering(since);
     if (route->mode == configuration::Mode::own && s.own) {
         // A position of an earlier term may have been cut back with others' commits; this term's own cover
         // it.
@@ -38,7 +38,7 @@
             need = std::max(*need, *s.own);
     }
     if (need) {
-        after = "AFTER " + written(*need) + " ";
+        after = "AFTER " + toString(*need) + " ";
         return true;
     }
     guarded = true;
@@ -47,7 +47,7 @@
 
 // A replica that was tried on trust and lacks what was needed: the module asks again when it may have caught
 // up.
-void Pooler::lags(Store& store, std::optional<Mark> mark) {
+void Pooler::lags(Store& store, std::optional<LogPosition> mark) {
     ++counts_.lagging;
     const std::optional<Nanos> position = mark ? store.service->horizon.holds(*mark) : std::nullopt;
     front_.lags(store.id, position.value_or(1));
--- a/src/proxy/replica_evidence.cpp
+++ b/src/proxy/replica_evidence.cpp
@@ -11,18 +11,18 @@
     replicas_ = std::move(replicas);
 }
 
-void ReplicaEvidence::told(const std::string& replica, const StoreRow& row) {
-    if (row.primary || row.term != term_ || row.received.term != term_) return;
-    Mark& most = received_[replica];
-    most = std::max(most, row.received);
+void ReplicaEvidence::told(const std::string& replica, const StoreStatus& row) {
+    if (row.primary || row.term != term_ || row.receivedPosition.term != term_) return;
+    LogPosition& most = received_[replica];
+    most = std::max(most, row.receivedPosition);
 }
 
-bool ReplicaEvidence::lacks(const std::string& replica, const Mark& position) const {
+bool ReplicaEvidence::lacks(const std::string& replica, const LogPosition& position) const {
     const auto found = received_.find(replica);
     return position.term != term_ || found == received_.end() || found->second < position;
 }
 
-bool ReplicaEvidence::holds(const Mark& position, int syncReplicas) const {
+bool ReplicaEvidence::holds(const LogPosition& position, int syncReplicas) const {
     const auto needed = static_cast<std::size_t>(std::max(1, syncReplicas));
     return replicas_.size() >= needed &&
            std::none_of(replicas_.begin(), replicas_.end(),
--- a/src/proxy/replica_evidence.hpp
+++ b/src/proxy/replica_evidence.hpp
@@ -10,9 +10,9 @@
 #include <set>
 #include <string>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanos.hpp"
-#include "store_row.hpp"
+#include "store_status.hpp"
 
 namespace granitereel::proxy {
 
@@ -22,16 +22,16 @@
     void recorded(std::uint64_t term, std::set<std::string> replicas);
     const std::set<std::string>& replicas() const { return replicas_; }
     // What a replica said on a connection that was open while the lead was settled.
-    void told(const std::string& replica, const StoreRow& row);
+    void told(const std::string& replica, const StoreStatus& row);
     // Whether each replica on record, and as many as are synchronous, has received the position in its term.
-    bool holds(const Mark& position, int syncReplicas) const;
+    bool holds(const LogPosition& position, int syncReplicas) const;
     // Whether a replica is still to be asked about the position.
-    bool lacks(const std::string& replica, const Mark& position) const;
+    bool lacks(const std::string& replica, const LogPosition& position) const;
 
 private:
     std::uint64_t term_ = 0;
     std::set<std::string> replicas_;
-    std::map<std::string, Mark> received_;
+    std::map<std::string, LogPosition> received_;
 };
 
 }  // namespace granitereel::proxy
--- a/src/proxy/witnesses.cpp
+++ b/src/proxy/witnesses.cpp
@@ -25,13 +25,13 @@
 // One question to each replica covers all that waits: the highest position among it is asked for.
 void Pooler::askReplicas() {
     for (auto& [name, of] : services_) prepareWitnesses(*of);
-    std::map<Service*, Mark> highest;
+    std::map<Service*, LogPosition> highest;
     for (const int client : unproven_) {
         const auto at = sessions_.find(client);
         if (at == sessions_.end() || !at->second->op || !at->second->op->unproven) continue;
         const Unproven& waits = *at->second->op->unproven;
         if (!waits.write.position || !restsOnRecord(*waits.service)) continue;
-        Mark& most = highest[waits.service];
+        LogPosition& most = highest[waits.service];
         most = std::max(most, *waits.write.position);
     }
     for (const auto& [of, position] : highest) {
@@ -85,7 +85,7 @@
     line.usedAt = now_;
     std::string_view row = answer.rows;
     takeField(row);
-    const auto told = answer.error ? std::nullopt : readRow(std::string(row));
+    const auto told = answer.error ? std::nullopt : parseStoreStatus(std::string(row));
     if (told) line.store->service->replicas.told(line.store->id, *told);
     idle(line);
     judgeUnproven();
--- a/src/store_row.hpp
+++ b/src/store_status.hpp
@@ -5,17 +5,17 @@
 #include <optional>
 #include <string>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 
 namespace granitereel {
 
-struct StoreRow {
+struct StoreStatus {
     bool primary = false;
     std::uint64_t term = 0;
-    Mark received;
-    std::uint64_t held = 0;  // the newest term it was paused or told to step down at
+    LogPosition receivedPosition;
+    std::uint64_t fencedTerm = 0;  // the newest term at which it was paused or told to step down
 };
 // Of "role term position-received term-held lag-ms busy connections"; none: not of that form.
-std::optional<StoreRow> readRow(const std::string& fields);
+std::optional<StoreStatus> parseStoreStatus(const std::string& fields);
 
 }  // namespace granitereel
--- a/standins/databases.cpp
+++ b/standins/databases.cpp
@@ -87,8 +87,8 @@
 
 std::string Databases::ready(const Connection& c) const {
     const Store& store = stores_.at(c.store);
-    const Mark mark = store.applied ? store.log[store.applied - 1].at : Mark{1, 0};
-    return std::string("READY ") + (c.failed ? "E" : c.tx ? "T" : "I") + " " + written(mark) + "\r\n";
+    const LogPosition mark = store.applied ? store.log[store.applied - 1].at : LogPosition{1, 0};
+    return std::string("READY ") + (c.failed ? "E" : c.tx ? "T" : "I") + " " + toString(mark) + "\r\n";
 }
 
 std::string Databases::failed(Connection& c, const std::string& error) {
@@ -140,10 +140,10 @@
     }
     if (word != "QUERY") return std::nullopt;
     in >> id >> word;
-    std::optional<Mark> after;
+    std::optional<LogPosition> after;
     if (word == "AFTER") {
         in >> text >> word;
-        after = readMark(text);
+        after = parseLogPosition(text);
     }
     std::string rest;
     std::getline(in, rest);
@@ -172,8 +172,8 @@
             store.paused = 0;
             replicate();
         }
-        const Mark received = store.log.empty() ? Mark{1, 0} : store.log.back().at;
-        return "ROW " + roleOf(c.store) + " " + std::to_string(term_) + " " + written(received) + " " +
+        const LogPosition received = store.log.empty() ? LogPosition{1, 0} : store.log.back().at;
+        return "ROW " + roleOf(c.store) + " " + std::to_string(term_) + " " + toString(received) + " " +
                std::to_string(store.paused) + " 0 0 1\r\nDONE -\r\n" + ready(c);
     }
     if (word == "SET") {
@@ -192,7 +192,7 @@
         return done();
     }
     if (word == "BEGIN") {
-        if (after && (store.applied == 0 ? Mark{1, 0} : store.log[store.applied - 1].at) < *after)
+        if (after && (store.applied == 0 ? LogPosition{1, 0} : store.log[store.applied - 1].at) < *after)
             return failed(c, "LAGGING");
         if (rest.empty() && !leads) return failed(c, "READONLY");
         c.tx = true;
@@ -232,7 +232,7 @@
     } else if (word != "READ" && word != "WRITE") {
         return failed(c, "MALFORMED");
     }
-    if (after && (store.applied == 0 ? Mark{1, 0} : store.log[store.applied - 1].at) < *after)
+    if (after && (store.applied == 0 ? LogPosition{1, 0} : store.log[store.applied - 1].at) < *after)
         return failed(c, "LAGGING");
     if (writes) {
         if (!leads || (c.tx && !c.plain)) return failed(c, "READONLY");
--- a/standins/databases.hpp
+++ b/standins/databases.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 
 namespace granitereel::standins {
 
@@ -77,7 +77,7 @@
 
 private:
     struct Entry {
-        Mark at;
+        LogPosition at;
         std::vector<std::string> writes;
     };
     struct Store {
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "control/succession.hpp"
+#include "control/failover.hpp"
 #include "board/lease.hpp"
 #include "proxy/lead_evidence.hpp"
 #include "proxy/replica_evidence.hpp"
@@ -46,13 +46,13 @@
         std::string store;
     };
     // A member that may own the duty.
-    struct Owner final : Succession::Means {
+    struct Owner final : Failover::Host {
         PromotionRig& rig;
         std::string name;
         int life = 0;
         Nanos offset = 0;
         double rate = 1;
-        std::unique_ptr<Succession> succession;
+        std::unique_ptr<Failover> succession;
         board::Board known;
         Outputs out;
         std::uint64_t lastAsk = 0;
@@ -64,20 +64,20 @@
         Owner(PromotionRig& of, std::string called) : rig(of), name(std::move(called)) {}
         Nanos clock() const { return offset + static_cast<Nanos>(static_cast<double>(rig.now) * rate); }
         Outputs& outputs() override { return out; }
-        std::uint64_t nextAsk(Succession&) override { return ++lastAsk; }
+        std::uint64_t nextRequestId(Failover&) override { return ++lastAsk; }
         const board::Board& board() const override { return known; }
         int syncReplicas(const std::string&) const override { return 1; }
-        void change(const std::string&, std::uint64_t ifSeq, Lead to,
-                    std::function<void(std::optional<Lead>)> done) override {
-            const auto once = std::make_shared<std::function<void(std::optional<Lead>)>>(std::move(done));
+        void compareAndSet(const std::string&, std::uint64_t ifSeq, PrimaryRecord to,
+                    std::function<void(std::optional<PrimaryRecord>)> done) override {
+            const auto once = std::make_shared<std::function<void(std::optional<PrimaryRecord>)>>(std::move(done));
             rig.askRegister(
                 *this,
                 [this, ifSeq, to, once] {
-                    const bool applies = (rig.lead ? rig.lead->seq : 0) == ifSeq;
+                    const bool applies = (rig.lead ? rig.lead->sequence : 0) == ifSeq;
                     if (applies) rig.write(to);
                     if (answersCut) return;
                     rig.toOwner(*this, rig.delay(), [this, applies, to, once] {
-                        if (applies) known.put("lead/svc", {{to.seq, 0}, written(to)});
+                        if (applies) known.put("lead/svc", {{to.sequence, 0}, toJson(to)});
                         if (const auto told = std::exchange(*once, nullptr))
                             told(applies ? std::optional(to) : std::nullopt);
                     });
@@ -86,17 +86,17 @@
                     if (const auto told = std::exchange(*once, nullptr)) told(std::nullopt);
                 });
         }
-        void confirm(const std::string&, const Lead& expected,
+        void confirmPrimary(const std::string&, const PrimaryRecord& expected,
                      std::function<void(Confirmation, Nanos)> done) override {
             const auto once = std::make_shared<std::function<void(Confirmation, Nanos)>>(std::move(done));
             rig.askRegister(
                 *this,
                 [this, expected, once] {
                     if (answersCut) return;
-                    const bool stands = rig.lead && written(*rig.lead) == written(expected);
+                    const bool stands = rig.lead && toJson(*rig.lead) == toJson(expected);
                     rig.toOwner(*this, rig.delay(), [this, stands, once] {
                         if (const auto told = std::exchange(*once, nullptr))
-                            told(stands ? Confirmation::stands : Confirmation::replaced, clock());
+                            told(stands ? Confirmation::current : Confirmation::replaced, clock());
                     });
                 },
                 [this, once] {
@@ -134,7 +134,7 @@
         owner.waiting.clear();
         owner.out.clear();
         owner.succession =
-            std::make_unique<Succession>(owner.name, "svc", frontLease + driftOfClocks, owner,
+            std::make_unique<Failover>(owner.name, "svc", frontLease + maxClockDrift, owner,
                                          PlatformGuarantees{options.fenceChecked, options.platformLease});
         owner.mine = false;
         for (const auto& [name, record] : truth.all()) owner.known.put(name, record);
@@ -166,10 +166,10 @@
     void own(Owner& owner, bool mine) {
         if (!owner.succession || owner.mine == mine) return;
         owner.mine = mine;
-        toOwner(owner, 0, [&owner] { owner.succession->own(owner.mine, owner.clock()); });
+        toOwner(owner, 0, [&owner] { owner.succession->setOwner(owner.mine, owner.clock()); });
     }
     void suspect(Owner& owner, const std::string& store) {
-        toOwner(owner, 0, [&owner, store] { owner.succession->suspected(store, owner.clock()); });
+        toOwner(owner, 0, [&owner, store] { owner.succession->primarySuspected(store, owner.clock()); });
     }
     void beat(const std::string& store, const std::string& standing = "accepting") {
         standings[store] = standing;
@@ -226,7 +226,7 @@
         const auto told = databases.said(line, "QUERY " + id + " WRITE x 1");
         if (told && told->starts_with("DONE")) {
             const auto position =
-                readMark(told->substr(told->rfind(' ') + 1, told->rfind("\r\n") - told->rfind(' ') - 1));
+                parseLogPosition(told->substr(told->rfind(' ') + 1, told->rfind("\r\n") - told->rfind(' ') - 1));
             front.unproven.push_back({id, {position, position->term, now}});
         }
         databases.closed(line);
@@ -295,7 +295,7 @@
         for (const std::string& store : databases.names()) {
             if (dark.count(store)) continue;
             const auto row = say(store, "STATUS");
-            if (row && row->held > 0) all.push_back(store);
+            if (row && row->fencedTerm > 0) all.push_back(store);
         }
         return all;
     }
@@ -306,7 +306,7 @@
     Nanos now = millis(1'000'000);
     std::vector<std::unique_ptr<Owner>> owners;
     std::vector<Front> fronts;
-    std::optional<Lead> lead;
+    std::optional<PrimaryRecord> lead;
     std::vector<Post> posts;  // as the platform saw them
     std::set<std::string> dark, hiddenFromControl, formerNames;
     std::string left;  // whose log is away; empty: none
@@ -318,7 +318,7 @@
     bool mayStart() const {
         if (options.startsAtAnyMoment) return !left.empty();
         if (left.empty() || !lead || now - leftAt <= millis(3000) || now <= promotedBy) return false;
-        return lead->steady || lead->replicas.count(left) > 0;
+        return lead->settled || lead->replicas.count(left) > 0;
     }
     std::vector<std::string> acknowledged, faults;
     int provenAlone = 0;  // writes told by what the replicas said
@@ -359,9 +359,9 @@
         });
         toOwner(owner, millis(900), std::move(gaveUp));
     }
-    void write(const Lead& to) {
+    void write(const PrimaryRecord& to) {
         lead = to;
-        publish("lead/svc", {{to.seq, 0}, written(to)});
+        publish("lead/svc", {{to.sequence, 0}, toJson(to)});
     }
     void publish(const std::string& name, board::Record record) {
         truth.put(name, record);
@@ -369,7 +369,7 @@
             if (!owner->cutOff && !owner->answersCut)
                 toOwner(*owner, delay(), [o = owner.get(), name, record] { o->known.put(name, record); });
     }
-    std::optional<StoreRow> say(const std::string& store, const std::string& text) {
+    std::optional<StoreStatus> say(const std::string& store, const std::string& text) {
         if (!standings.count(store)) return std::nullopt;  // it has left
         const int line = databases.connect(store);
         databases.said(line, "GREET svc control " + store);
@@ -377,9 +377,9 @@
         databases.closed(line);
         return told ? rowOf(*told) : std::nullopt;
     }
-    static std::optional<StoreRow> rowOf(const std::string& told) {
+    static std::optional<StoreStatus> rowOf(const std::string& told) {
         if (!told.starts_with("ROW ")) return std::nullopt;
-        return readRow(told.substr(4, told.find("\r\n") - 4));
+        return parseStoreStatus(told.substr(4, told.find("\r\n") - 4));
     }
     void openWitnesses(Front& front) {
         for (const std::string& store : front.replicas.replicas()) {
@@ -391,7 +391,7 @@
     }
     void leave(Owner& owner, const ToStore& ask) {
         const auto none = [&owner, no = ask.ask] {
-            owner.succession->answered(no, std::nullopt, owner.clock());
+            owner.succession->statementAnswered(no, std::nullopt, owner.clock());
         };
         if (owner.clock() >= ask.notAfter) return none();
         toOwner(owner, millis(ask.within_ms), none);
@@ -403,27 +403,27 @@
             const auto row = say(ask.store, ask.text);
             if (owner.life != life || dark.count(ask.store) || owner.storesCut || lost()) return;
             toOwner(owner, delay(),
-                    [&owner, no = ask.ask, row] { owner.succession->answered(no, row, owner.clock()); });
+                    [&owner, no = ask.ask, row] { owner.succession->statementAnswered(no, row, owner.clock()); });
         });
     }
     void leave(Owner& owner, const ToPlatform& post) {
-        const auto ended = [this, &owner, no = post.ask](Nanos in, PromotionAnswer answer) {
+        const auto ended = [this, &owner, no = post.ask](Nanos in, PromotionOutcome answer) {
             toOwner(owner, in,
-                    [&owner, no, answer] { owner.succession->promoted(no, answer, owner.clock()); });
+                    [&owner, no, answer] { owner.succession->promotionAnswered(no, answer, owner.clock()); });
         };
-        if (owner.clock() >= post.notAfter) return ended(0, PromotionAnswer::notSent);
-        ended(millis(post.within_ms), PromotionAnswer::silent);
+        if (owner.clock() >= post.notAfter) return ended(0, PromotionOutcome::notSent);
+        ended(millis(post.within_ms), PromotionOutcome::unanswered);
         if (owner.platformCut || lost()) return;
         const Nanos atRandom = chance() % 4 ? delay() : millis(1) + Nanos(chance() % 1000) * 1'190'000;
         const Nanos way = options.postWay.value_or(atRandom);
         promotedBy = now + way + millis(800);
         ++postsLeft;
         at(now + way, [this, &owner, life = owner.life, post, ended] {
-            const PromotionAnswer answer = arrived({now, owner.name, life, post.fence, post.store});
+            const PromotionOutcome answer = arrived({now, owner.name, life, post.fence, post.store});
             if (owner.life == life && !owner.platformCut && !lost()) ended(delay(), answer);
         });
     }
-    PromotionAnswer arrived(const Post& post) {
+    PromotionOutcome arrived(const Post& post) {
         for (const Post& seen : posts) {
             const bool same =
                 seen.holder == post.holder && seen.life == post.life && seen.store == post.store;
@@ -433,10 +433,10 @@
                 fault("turns inside the lease", post, seen);
         }
         const std::uint64_t highest = highestFence;
-        if (options.fenceChecked && post.fence < highest) return PromotionAnswer::conflict;
+        if (options.fenceChecked && post.fence < highest) return PromotionOutcome::conflict;
         posts.push_back(post);
         highestFence = std::max(highest, post.fence);
-        if (dark.count(post.store) || !standings.count(post.store)) return PromotionAnswer::conflict;
+        if (dark.count(post.store) || !standings.count(post.store)) return PromotionOutcome::conflict;
         const Nanos atRandom = millis(100) + Nanos(chance() % 700) * 1'000'000;
         const Nanos takes = options.promoteTakes.value_or(atRandom);
         at(now + takes, [this, store = post.store] {
@@ -445,7 +445,7 @@
                 if (databases.effects(id) != 1) faults.push_back(store + " is promoted without " + id);
             for (const std::string& each : databases.names()) beat(each, standings[each]);
         });
-        return PromotionAnswer::accepted;
+        return PromotionOutcome::accepted;
     }
     void fault(const std::string& what, const Post& post, const Post& seen) {
         faults.push_back(what + " " + std::to_string(post.fence) + " by " + post.holder + " after " +
@@ -456,15 +456,15 @@
             front.askedAt = now;
             at(now + delay(), [this, &front, asked = now] {
                 if (!lead) return;
-                const std::string store = lead->steady ? lead->store : "";
+                const std::string store = lead->settled ? lead->store : "";
                 at(now + delay(), [this, &front, asked, store, record = *lead] {
                     front.leaseUntil = std::max(front.leaseUntil, asked + frontLease);
                     front.store = store;
-                    if (record.seq < front.heardSeq) return;  // overtaken by a later record
-                    front.heardSeq = record.seq;
+                    if (record.sequence < front.heardSeq) return;  // overtaken by a later record
+                    front.heardSeq = record.sequence;
                     front.evidence.recorded(record.term, record.retained);
                     front.replicas.recorded(record.term, record.replicas);
-                    if (record.steady) front.evidence.settledUntil(asked + frontLease);
+                    if (record.settled) front.evidence.settledUntil(asked + frontLease);
                     if (options.provesByReplicas && front.evidence.settled(now) && !front.frozen)
                         openWitnesses(front);
                     if (!front.frozen) judge(front);
--- a/standins/succession_rig.hpp
+++ b/standins/succession_rig.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "control/succession.hpp"
+#include "control/failover.hpp"
 #include "standins/databases.hpp"
 
 namespace granitereel::standins {
@@ -13,12 +13,12 @@
 using namespace granitereel::control;
 
 // Owners of one service's duty over a register that is always there, against stand-in stores.
-struct SuccessionRig : Succession::Means {
+struct SuccessionRig : Failover::Host {
     Databases databases{"svc", 3, 1};
     board::Board known;
     Outputs out;
-    std::optional<Lead> lead;
-    std::map<std::uint64_t, Succession*> asks;
+    std::optional<PrimaryRecord> lead;
+    std::map<std::uint64_t, Failover*> asks;
     std::uint64_t next = 1, version = 1, highestFence = 0;
     int late = 0;
     std::vector<ToPlatform> heldBack;  // calls that serve() was told not to carry out
@@ -36,27 +36,27 @@
                                       {"role", databases.roleOf(store)}}});
     }
     Outputs& outputs() override { return out; }
-    std::uint64_t nextAsk(Succession& asker) override {
+    std::uint64_t nextRequestId(Failover& asker) override {
         asks[next] = &asker;
         return next++;
     }
-    void change(const std::string&, std::uint64_t ifSeq, Lead to,
-                std::function<void(std::optional<Lead>)> done) override {
-        if ((lead ? lead->seq : 0) != ifSeq) return done(std::nullopt);
+    void compareAndSet(const std::string&, std::uint64_t ifSeq, PrimaryRecord to,
+                       std::function<void(std::optional<PrimaryRecord>)> done) override {
+        if ((lead ? lead->sequence : 0) != ifSeq) return done(std::nullopt);
         lead = to;
-        known.put("lead/svc", {{to.seq, 0}, written(to)});
+        known.put("lead/svc", {{to.sequence, 0}, toJson(to)});
         done(to);
     }
-    void confirm(const std::string&, const Lead& expected,
-                 std::function<void(Confirmation, Nanos)> done) override {
-        const bool stands = lead && written(*lead) == written(expected);
-        done(stands ? Confirmation::stands : Confirmation::replaced, clock);
+    void confirmPrimary(const std::string&, const PrimaryRecord& expected,
+                        std::function<void(Confirmation, Nanos)> done) override {
+        const bool stands = lead && toJson(*lead) == toJson(expected);
+        done(stands ? Confirmation::current : Confirmation::replaced, clock);
     }
     const board::Board& board() const override { return known; }
     int syncReplicas(const std::string&) const override { return 1; }
 
     // Carries out what is asked, and answers it; `stopAfter`: that many asks, then whoever asked is dead.
-    int serve(Succession& owner, Nanos now, int stopAfter = 1 << 30, bool answers = true, bool posts = true) {
+    int serve(Failover& owner, Nanos now, int stopAfter = 1 << 30, bool answers = true, bool posts = true) {
         int served = 0;
         while (!out.empty() && served < stopAfter) {
             Outputs batch = std::exchange(out, {});
@@ -65,26 +65,26 @@
                 if (auto* ask = std::get_if<ToStore>(&each)) {
                     ++served;
                     const int line = databases.connect(ask->store);
-                    std::optional<StoreRow> row;
+                    std::optional<StoreStatus> row;
                     databases.said(line, "GREET svc control " + ask->store);
                     if (const auto told = databases.said(line, "QUERY - " + ask->text);
                         told && told->starts_with("ROW "))
-                        row = readRow(told->substr(4, told->find("\r\n") - 4));
+                        row = parseStoreStatus(told->substr(4, told->find("\r\n") - 4));
                     databases.closed(line);
-                    if (answers) owner.answered(ask->ask, row, now);
+                    if (answers) owner.statementAnswered(ask->ask, row, now);
                 } else if (auto* post = std::get_if<ToPlatform>(&each); post && !posts) {
                     heldBack.push_back(*post);
                 } else if (post) {
                     ++served;
-                    auto answer = PromotionAnswer::conflict;
+                    auto answer = PromotionOutcome::conflict;
                     if (post->fence >= highestFence) {
                         highestFence = post->fence;
-                        if (databases.promote(post->store)) answer = PromotionAnswer::accepted;
+                        if (databases.promote(post->store)) answer = PromotionOutcome::accepted;
                         for (const std::string& store : databases.names()) beat(store);
                     } else {
                         ++late;
                     }
-                    if (answers) owner.promoted(post->ask, answer, now);
+                    if (answers) owner.promotionAnswered(post->ask, answer, now);
                 }
             }
         }
@@ -100,7 +100,7 @@
     std::vector<std::string> acknowledged;
 };
 
-inline void settleDown(SuccessionRig& rule, Succession& owner, Nanos& now, Nanos time) {
+inline void settleDown(SuccessionRig& rule, Failover& owner, Nanos& now, Nanos time) {
     for (const Nanos until = now + time; now < until; now += millis(50)) {
         rule.clock = now;
         owner.tick(now);
--- a/tests/system/acknowledgements.cpp
+++ b/tests/system/acknowledgements.cpp
@@ -61,7 +61,7 @@
 TEST(LeadEvidence, KeepsAWriteThatWasAnsweredUnderALeaseOfItsTerm) {
     LeadEvidence evidence;
     evidence.recorded(3, {});
-    const AcknowledgedWrite write{Mark{3, 7}, 3, millis(100)};
+    const AcknowledgedWrite write{LogPosition{3, 7}, 3, millis(100)};
     EXPECT_EQ(evidence.fateOf(write), WriteFate::open);
     evidence.settledUntil(millis(100));
     EXPECT_EQ(evidence.fateOf(write), WriteFate::open);  // at the end of the lease is behind it
@@ -77,27 +77,27 @@
     evidence.settledUntil(millis(900));
     evidence.recorded(4, {});
     EXPECT_FALSE(evidence.settled(millis(100)));
-    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, millis(100)}), WriteFate::unknown);
-    EXPECT_EQ(evidence.fateOf({Mark{4, 1}, 4, millis(100)}), WriteFate::open);
-    EXPECT_EQ(evidence.fateOf({Mark{5, 1}, 5, millis(100)}), WriteFate::open);
+    EXPECT_EQ(evidence.fateOf({LogPosition{3, 7}, 3, millis(100)}), WriteFate::unknown);
+    EXPECT_EQ(evidence.fateOf({LogPosition{4, 1}, 4, millis(100)}), WriteFate::open);
+    EXPECT_EQ(evidence.fateOf({LogPosition{5, 1}, 5, millis(100)}), WriteFate::open);
 }
 
 TEST(LeadEvidence, KeepsWhatThePromotedStoreHadOfTheTermBefore) {
     LeadEvidence evidence;
     evidence.recorded(3, {});
-    evidence.recorded(4, Mark{3, 7});
-    EXPECT_EQ(evidence.fateOf({Mark{3, 6}, 3, 0}), WriteFate::kept);
-    EXPECT_EQ(evidence.fateOf({Mark{3, 7}, 3, 0}), WriteFate::kept);
-    EXPECT_EQ(evidence.fateOf({Mark{3, 8}, 3, 0}), WriteFate::unknown);
+    evidence.recorded(4, LogPosition{3, 7});
+    EXPECT_EQ(evidence.fateOf({LogPosition{3, 6}, 3, 0}), WriteFate::kept);
+    EXPECT_EQ(evidence.fateOf({LogPosition{3, 7}, 3, 0}), WriteFate::kept);
+    EXPECT_EQ(evidence.fateOf({LogPosition{3, 8}, 3, 0}), WriteFate::unknown);
     EXPECT_EQ(evidence.fateOf({std::nullopt, 3, 0}), WriteFate::unknown);
     // Of the terms before it is not known whether the lead in between had them.
-    EXPECT_EQ(evidence.fateOf({Mark{2, 1}, 2, 0}), WriteFate::unknown);
+    EXPECT_EQ(evidence.fateOf({LogPosition{2, 1}, 2, 0}), WriteFate::unknown);
 }
 
-StoreRow replicaRow(std::uint64_t term, Mark received) {
-    StoreRow row;
+StoreStatus replicaRow(std::uint64_t term, LogPosition received) {
+    StoreStatus row;
     row.term = term;
-    row.received = received;
+    row.receivedPosition = received;
     return row;
 }
 
@@ -122,7 +122,7 @@
     evidence.recorded(3, {"s1"});
     evidence.told("s1", replicaRow(4, {3, 7}));  // follows the next lead: its log may be cut back
     evidence.told("s1", replicaRow(3, {2, 7}));
-    StoreRow leads = replicaRow(3, {3, 7});
+    StoreStatus leads = replicaRow(3, {3, 7});
     leads.primary = true;
     evidence.told("s1", leads);
     EXPECT_FALSE(evidence.holds({3, 7}, 1));
@@ -388,22 +388,22 @@
 // What the promoted store had is written with the lead, and no later change but the next promotion's ends it.
 TEST(Acknowledgements, APromotionWritesWhatThePromotedStoreHad) {
     standins::SuccessionRig rig;
-    control::Succession owner("m1", "svc", millis(750), rig);
+    control::Failover owner("m1", "svc", millis(750), rig);
     Nanos now = millis(10'000);
-    owner.own(true, now);
+    owner.setOwner(true, now);
     settleDown(rig, owner, now, millis(500));
     for (const char* id : {"w1", "w2", "w3"}) rig.write(id);
     ASSERT_TRUE(rig.lead);
     EXPECT_FALSE(rig.lead->retained);
     rig.databases.dark("s0", true);
-    owner.suspected("s0", now);
+    owner.primarySuspected("s0", now);
     settleDown(rig, owner, now, millis(3000));
-    ASSERT_TRUE(rig.lead->steady);
+    ASSERT_TRUE(rig.lead->settled);
     EXPECT_NE(rig.lead->store, "s0");
-    EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
-    EXPECT_EQ(control::readLead(control::written(*rig.lead))->retained, (Mark{1, 3}));
+    EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
+    EXPECT_EQ(control::parsePrimaryRecord(control::toJson(*rig.lead))->retained, (LogPosition{1, 3}));
     rig.beat("s9");  // a store that is new: its record is written, the position stays
     settleDown(rig, owner, now, millis(1000));
-    EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
+    EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
 }
 }  // namespace
--- a/tests/system/calls.cpp
+++ b/tests/system/calls.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "control/edition_log.hpp"
+#include "control/configuration_revisions.hpp"
 #include "standins/control_world.hpp"
 
 namespace {
@@ -55,7 +55,7 @@
         return now - from;
     }
     const board::Record* store(const std::string& at, const std::string& id) {
-        return static_cast<const Succession::Means&>(*members[at].control).board().find("store/" + id);
+        return static_cast<const Failover::Host&>(*members[at].control).board().find("store/" + id);
     }
     std::string standing(const std::string& at, const std::string& id) {
         const board::Record* record = store(at, id);
@@ -102,7 +102,7 @@
                 if (restarts && turn == 6) world.kill(b), world.start(b);
                 if (restarts && turn == 12) world.kill(c), world.start(c), world.run(millis(1500));
                 // The lease that was had at the cut may outlive it for its time.
-                const bool contact = world.now - cutAt < LeaseRounds::leaseTime;
+                const bool contact = world.now - cutAt < LeaseRounds::leaseDuration;
                 const auto on = [&](std::uint64_t no) {
                     const Nanos took = world.await(b, no);
                     longest = std::max(longest, took);
@@ -176,7 +176,7 @@
         }
     }
     EXPECT_GT(ran, 10);
-    EXPECT_LE(longest, CallRouter::answeredWithin + millis(50));  // and a tick
+    EXPECT_LE(longest, CallRouter::maxAnswerTime + millis(50));  // and a tick
     std::printf("longest answer of a call that waited for a lease: %d ms\n",
                 static_cast<int>(longest / millis(1)));
 }
@@ -418,7 +418,7 @@
             world.await(b, world.beat(b, "i-1", {1, "winding_down"}));
             EXPECT_EQ(world.standing(b, "i-1"), before);  // as one that was overtaken
             EXPECT_EQ(world.kind(b, world.lastCall), deleted ? Kind::taken : Kind::unready);
-            if (!cold) world.run(StoreRegistry::lateBeats * millis(1000));
+            if (!cold) world.run(StoreRegistry::maxMissedHeartbeats * millis(1000));
             world.await(b, world.beat(b, "i-1", {2, "accepting", "10.9.0.1:80", cold ? 20'000 : 0}));
             world.await(c, world.beat(c, "i-1", {3, "winding_down"}));
             for (const std::string& at : {a, b, c}) EXPECT_EQ(world.standing(at, "i-1"), "winding_down");
@@ -585,23 +585,23 @@
 }
 
 TEST(EditionLog, KeepsTheLastEditionsAndReadsWhatWasWrittenBeforeIt) {
-    EditionLog log;
+    ConfigurationRevisions log;
     for (std::uint64_t edition = 1; edition <= 100; ++edition)
-        EXPECT_EQ(log.offer({{"edition", edition}, {"b", 1}, {"a", 2}}), OrderVerdict::taken);
-    EditionLog gaps;
-    for (std::uint64_t edition = 2; edition <= 200; edition += 2) gaps.offer({{"edition", edition}});
-    EXPECT_EQ(gaps.offer({{"edition", 199}, {"b", 1}}), OrderVerdict::older);
-    EXPECT_EQ(gaps.offer({{"edition", 199}, {"b", 2}}), OrderVerdict::conflict);
-    EXPECT_EQ(gaps.toJson().at("digests").size(), EditionLog::kept);
+        EXPECT_EQ(log.apply({{"edition", edition}, {"b", 1}, {"a", 2}}), RevisionOutcome::applied);
+    ConfigurationRevisions gaps;
+    for (std::uint64_t edition = 2; edition <= 200; edition += 2) gaps.apply({{"edition", edition}});
+    EXPECT_EQ(gaps.apply({{"edition", 199}, {"b", 1}}), RevisionOutcome::stale);
+    EXPECT_EQ(gaps.apply({{"edition", 199}, {"b", 2}}), RevisionOutcome::conflict);
+    EXPECT_EQ(gaps.toJson().at("digests").size(), ConfigurationRevisions::maxRetained);
     const Json value = log.toJson();
-    EXPECT_EQ(value.at("digests").size(), EditionLog::kept);
-    log = EditionLog::fromJson(value);
-    EXPECT_EQ(log.offer(Json::parse(R"({"a":2,"b":1,"edition":40})")), OrderVerdict::repeated);
-    EXPECT_EQ(log.offer({{"edition", 40}, {"b", 1}}), OrderVerdict::conflict);
-    EXPECT_EQ(log.offer({{"edition", 2}, {"b", 1}}), OrderVerdict::older);
+    EXPECT_EQ(value.at("digests").size(), ConfigurationRevisions::maxRetained);
+    log = ConfigurationRevisions::fromJson(value);
+    EXPECT_EQ(log.apply(Json::parse(R"({"a":2,"b":1,"edition":40})")), RevisionOutcome::duplicate);
+    EXPECT_EQ(log.apply({{"edition", 40}, {"b", 1}}), RevisionOutcome::conflict);
+    EXPECT_EQ(log.apply({{"edition", 2}, {"b", 1}}), RevisionOutcome::stale);
     EXPECT_EQ(log.toJson(), value);
-    EditionLog before = EditionLog::fromJson({{"edition", 7}, {"b", 1}});
-    EXPECT_EQ(before.offer({{"edition", 7}, {"b", 1}}), OrderVerdict::repeated);
-    EXPECT_EQ(before.offer({{"edition", 7}, {"b", 2}}), OrderVerdict::conflict);
+    ConfigurationRevisions before = ConfigurationRevisions::fromJson({{"edition", 7}, {"b", 1}});
+    EXPECT_EQ(before.apply({{"edition", 7}, {"b", 1}}), RevisionOutcome::duplicate);
+    EXPECT_EQ(before.apply({{"edition", 7}, {"b", 2}}), RevisionOutcome::conflict);
 }
 }  // namespace
--- a/tests/system/gossip.cpp
+++ b/tests/system/gossip.cpp
@@ -663,7 +663,7 @@
         early.records.push_back({"lead/svc", {1, 0}, {}, {{"store", "old"}}});
         peer.put("lead/svc", {{2, 0}, {{"store", "new"}}});
         const auto lead = [&] {
-            const auto& board = static_cast<const control::Succession::Means&>(member).board();
+            const auto& board = static_cast<const control::Failover::Host&>(member).board();
             return board.find("lead/svc")->body.at("store").get<std::string>();
         };
         const auto leased = [&] { return member.state(now)["lease_left_ms"].get<int>() > 0; };
@@ -679,8 +679,8 @@
                     peer.heard(7, out->message);
                     continue;
                 }
-                const auto question = control::LeaseQuestion::fromJson(out->message);
-                toMember.push_back(control::LeaseAnswer{question.round, 1, {}}.toJson());
+                const auto question = control::LeaseRoundRequest::fromJson(out->message);
+                toMember.push_back(control::LeaseRoundReply{question.round, 1, {}}.toJson());
             }
         };
         for (int step = 0; step < 20; ++step) {
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -44,10 +44,10 @@
 }
 
 TEST(Marks, CompareByTermFirst) {
-    EXPECT_LT(*readMark("2.900"), *readMark("3.1"));
+    EXPECT_LT(*parseLogPosition("2.900"), *parseLogPosition("3.1"));
     for (const char* bad : {"", "-", "3", "3.", ".4", "3.4.5", "a.b", "3.4x"})
-        EXPECT_FALSE(readMark(bad)) << bad;
-    EXPECT_EQ(written(*readMark("3.1207")), "3.1207");
+        EXPECT_FALSE(parseLogPosition(bad)) << bad;
+    EXPECT_EQ(toString(*parseLogPosition("3.1207")), "3.1207");
 }
 
 TEST(Horizon, CoversWhatWasAcknowledgedBefore) {
@@ -58,11 +58,11 @@
                 millis(1100));  // overtaken on its way: shows less, and covers as much as the one before
     horizon.saw({1, 20}, millis(1200));
     horizon.saw({2, 21}, millis(1300));
-    EXPECT_EQ(*horizon.covering(millis(900)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1100)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.covering(millis(1101)), (Mark{1, 20}));
+    EXPECT_EQ(*horizon.covering(millis(900)), (LogPosition{1, 10}));
+    EXPECT_EQ(*horizon.covering(millis(1100)), (LogPosition{1, 10}));
+    EXPECT_EQ(*horizon.covering(millis(1101)), (LogPosition{1, 20}));
     EXPECT_FALSE(horizon.covering(millis(1301)));
-    EXPECT_EQ(*horizon.covering(millis(900), 2), (Mark{2, 21}));
+    EXPECT_EQ(*horizon.covering(millis(900), 2), (LogPosition{2, 21}));
     EXPECT_EQ(*horizon.holds({1, 15}), millis(1100));
     EXPECT_FALSE(horizon.holds({1, 9}));
     EXPECT_EQ(*horizon.holds({3, 1}), millis(1300));
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -122,7 +122,7 @@
                 EXPECT_EQ(answer->kind, Kind::taken);
             }
         }
-        const auto* record = static_cast<const Succession::Means&>(control).board().find("store/i-1");
+        const auto* record = static_cast<const Failover::Host&>(control).board().find("store/i-1");
         ASSERT_TRUE(record);
         // Gone stays gone where anything was known before; else the highest number counts.
         const bool knownBefore = order[0] != 2;
@@ -220,7 +220,7 @@
     world.run(millis(1500));
     const std::string self = standins::ControlWorld::address(0);
     ControlMember& member = *world.members[self].control;
-    const auto& board = static_cast<Succession::Means&>(member).board();
+    const auto& board = static_cast<Failover::Host&>(member).board();
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
     member.heard(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
@@ -259,7 +259,7 @@
     world.run(millis(2000));
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
-    const auto& board = static_cast<Succession::Means&>(*world.members[here].control).board();
+    const auto& board = static_cast<Failover::Host&>(*world.members[here].control).board();
     for (const Nanos until = world.now + 2 * board::renewedWithin; world.now < until;) {
         world.now += millis(49);  // so that each step is one in which members tick
         world.step();
--- a/tests/system/membership.cpp
+++ b/tests/system/membership.cpp
@@ -324,7 +324,7 @@
     EXPECT_EQ(rig.members[at(1)].answers[call].first, Kind::leaving);
     EXPECT_LT(rig.untilEnded(at(1)), millis(1500));
     for (const std::string& name : rig.alive()) {
-        const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
+        const auto& means = static_cast<const Failover::Host&>(*rig.members[name].control);
         EXPECT_TRUE(means.board().find("store/i-9")) << name;
         EXPECT_EQ(rig.votersAt(name), (Names{at(0), at(2), at(20)})) << name;
     }
@@ -341,7 +341,7 @@
     EXPECT_LT(rig.untilEnded(at(1)), millis(200));
     EXPECT_TRUE(rig.taken(at(1), rig.puts.back().call));
     for (const std::string& name : rig.alive()) {
-        const auto& means = static_cast<const Succession::Means&>(*rig.members[name].control);
+        const auto& means = static_cast<const Failover::Host&>(*rig.members[name].control);
         EXPECT_TRUE(means.board().find("store/i-9")) << name;
     }
     // Nobody is there to hand over to, and its change can come to nothing: a bound ends it.
--- a/tests/system/promotion.cpp
+++ b/tests/system/promotion.cpp
@@ -19,7 +19,7 @@
 // Waits for the register to be steady with the store that leads, with all replicas receiving.
 void expectWhole(PromotionRig& rig, const std::string& where) {
     for (const std::string& fault : rig.faults) ADD_FAILURE() << where << ": " << fault;
-    ASSERT_TRUE(rig.lead && rig.lead->steady) << where;
+    ASSERT_TRUE(rig.lead && rig.lead->settled) << where;
     EXPECT_EQ(rig.lead->store, rig.databases.lead()) << where;
     for (const std::string& id : rig.acknowledged) EXPECT_EQ(rig.databases.effects(id), 1) << where << id;
     EXPECT_TRUE(rig.pausedReplicas().empty()) << where << rig.pausedReplicas().front() << " is left paused";
@@ -221,11 +221,11 @@
     rig.crash("s0", true);
     for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0"), rig.run(millis(200));
     ASSERT_TRUE(rig.lead);
-    EXPECT_FALSE(rig.lead->steady);  // s2 may have the only copy of a commit
+    EXPECT_FALSE(rig.lead->settled);  // s2 may have the only copy of a commit
     rig.returnsAs("s0", "s0-again");
     runWithWrites(rig, millis(4000));
     EXPECT_EQ(rig.lead->store, "s0-again");
-    EXPECT_TRUE(rig.lead->steady);
+    EXPECT_TRUE(rig.lead->settled);
     const std::size_t before = rig.acknowledged.size();
     runWithWrites(rig, millis(1000));
     EXPECT_GT(rig.acknowledged.size(), before);
@@ -235,7 +235,7 @@
     rig.crash("s0-again", true);
     for (int i = 0; i < 20; ++i) rig.suspect(*rig.owners[0], "s0-again"), rig.run(millis(200));
     EXPECT_EQ(rig.lead->term, 2u);
-    EXPECT_TRUE(rig.lead->steady);
+    EXPECT_TRUE(rig.lead->settled);
     expectWhole(rig, "crashed again");
 }
 
@@ -480,8 +480,8 @@
         rig.logPassesTo("s1", "s1-again");
         runWithWrites(rig, millis(1500));
         EXPECT_EQ(rig.lead->replicas.count("s1-again"), 1u);
-        EXPECT_TRUE(rig.lead->young.empty());
-        EXPECT_TRUE(rig.lead->vacated.empty());
+        EXPECT_TRUE(rig.lead->recentReplicas.empty());
+        EXPECT_TRUE(rig.lead->vacatedAddresses.empty());
     }
 }
 
@@ -489,14 +489,14 @@
     PromotionRig rig({true, 0, 15, 2});
     rig.own(*rig.owners[0], true);
     rig.run(millis(1500));
-    EXPECT_TRUE(rig.lead->young.empty());  // all were there when the lead was found
+    EXPECT_TRUE(rig.lead->recentReplicas.empty());  // all were there when the lead was found
     rig.joins("s3");
     rig.run(millis(20'000));
-    EXPECT_EQ(rig.lead->young, YoungReplicas({{"s3", 2}}));
+    EXPECT_EQ(rig.lead->recentReplicas, RecentReplicas({{"s3", 2}}));
     rig.own(*rig.owners[0], false);
     rig.own(*rig.owners[1], true);  // has seen it as long
     rig.run(millis(7'000));
-    EXPECT_TRUE(rig.lead->young.empty());
+    EXPECT_TRUE(rig.lead->recentReplicas.empty());
     // One that started since goes on from what the record says.
     rig.joins("s4");
     rig.run(millis(20'000));
@@ -504,9 +504,9 @@
     rig.start(*rig.owners[1]);
     rig.own(*rig.owners[1], true);
     rig.run(millis(7'000));
-    EXPECT_EQ(rig.lead->young, YoungReplicas({{"s4", 2}}));
+    EXPECT_EQ(rig.lead->recentReplicas, RecentReplicas({{"s4", 2}}));
     rig.run(millis(4'000));
-    EXPECT_TRUE(rig.lead->young.empty());
+    EXPECT_TRUE(rig.lead->recentReplicas.empty());
 }
 
 // Stores that crash come back under other names, at any moment, again and again.
@@ -527,14 +527,15 @@
 
 // An answer that comes late, when the owner is at its next attempt already, is not taken for that one's.
 TEST(Promotion, ALateAnswerOfThePlatformIsNotTakenForALaterCalls) {
-    for (const auto late : {PromotionAnswer::accepted, PromotionAnswer::conflict, PromotionAnswer::silent}) {
+    for (const auto late :
+         {PromotionOutcome::accepted, PromotionOutcome::conflict, PromotionOutcome::unanswered}) {
         standins::SuccessionRig rig;
-        Succession owner("m1", "svc", millis(750), rig);
+        Failover owner("m1", "svc", millis(750), rig);
         Nanos now = millis(10'000);
-        owner.own(true, now);
+        owner.setOwner(true, now);
         standins::settleDown(rig, owner, now, millis(500));
         rig.databases.dark("s0", true);
-        owner.suspected("s0", now);
+        owner.primarySuspected("s0", now);
         const auto untilPost = [&]() -> std::optional<ToPlatform> {
             for (int i = 0; i < 100; ++i, now += millis(50)) {
                 rig.clock = now;
@@ -546,19 +547,19 @@
         };
         const auto first = untilPost();
         ASSERT_TRUE(first);
-        owner.own(false, now);
-        owner.own(true, now);
+        owner.setOwner(false, now);
+        owner.setOwner(true, now);
         // The next attempt is ready, and waits for the first call's end.
         EXPECT_FALSE(untilPost());
         EXPECT_STREQ(owner.phase(), "promoting");
-        owner.promoted(first->ask, late, now);
+        owner.promotionAnswered(first->ask, late, now);
         EXPECT_STREQ(owner.phase(), "promoting");
         const auto second = untilPost();
         ASSERT_TRUE(second);
         EXPECT_GT(second->fence, first->fence);
-        owner.promoted(first->ask, late, now);
+        owner.promotionAnswered(first->ask, late, now);
         EXPECT_STREQ(owner.phase(), "promoting");
-        owner.promoted(second->ask, PromotionAnswer::accepted, now);
+        owner.promotionAnswered(second->ask, PromotionOutcome::accepted, now);
         EXPECT_STREQ(owner.phase(), "rising");
     }
 }
@@ -567,8 +568,8 @@
 // the first life's may have stood, the second must not act under it as if it were its own.
 // Of the lead that a slot on disk holds; 0 where it holds none.
 std::uint64_t seqOf(const Json& slot) {
-    const std::optional<Lead> lead = readLead(readSlot(slot).value);
-    return lead ? lead->seq : 0;
+    const std::optional<PrimaryRecord> lead = parsePrimaryRecord(readSlot(slot).value);
+    return lead ? lead->sequence : 0;
 }
 
 TEST(Promotion, ASecondLifeDoesNotTakeTheFirstLifesFenceForItsOwn) {
@@ -577,19 +578,19 @@
         standins::ControlWorld world(3, 0, 5);
         world.run(millis(2000));
         const std::string self = world.address(0);
-        const auto means = [&]() -> Succession::Means& { return *world.members[self].control; };
-        Lead lead;
+        const auto means = [&]() -> Failover::Host& { return *world.members[self].control; };
+        PrimaryRecord lead;
         lead.store = "s0";
-        lead.seq = 1;
-        std::optional<Lead> founded, second;
-        means().change("svc", 0, lead, [&](std::optional<Lead> is) { founded = is; });
+        lead.sequence = 1;
+        std::optional<PrimaryRecord> founded, second;
+        means().compareAndSet("svc", 0, lead, [&](std::optional<PrimaryRecord> is) { founded = is; });
         world.carry(self);
         world.run(millis(200));
         ASSERT_TRUE(founded);
-        lead.seq = 2;
-        lead.fence = 1;
-        lead.holder = self;
-        means().change("svc", 1, lead, [](std::optional<Lead>) {});
+        lead.sequence = 2;
+        lead.fencingToken = 1;
+        lead.owner = self;
+        means().compareAndSet("svc", 1, lead, [](std::optional<PrimaryRecord>) {});
         world.carry(self);
         world.run(millis(killedAfter_ms));
         world.kill(self);
@@ -598,7 +599,7 @@
             holding += member.disk.count("slot/lead/svc") && seqOf(member.disk.at("slot/lead/svc")) == 2;
         world.start(self);
         world.run(millis(60));
-        means().change("svc", 1, lead, [&](std::optional<Lead> is) { second = is; });
+        means().compareAndSet("svc", 1, lead, [&](std::optional<PrimaryRecord> is) { second = is; });
         world.carry(self);
         world.run(millis(1500));
         if (holding < 2) continue;
@@ -613,33 +614,33 @@
     standins::ControlWorld world(3, 0, 6);
     world.run(millis(2000));
     const std::string self = world.address(0);
-    auto& means = static_cast<Succession::Means&>(*world.members[self].control);
-    const auto confirms = [&](const Lead& lead) {
+    auto& means = static_cast<Failover::Host&>(*world.members[self].control);
+    const auto confirms = [&](const PrimaryRecord& lead) {
         std::optional<Confirmation> is;
-        means.confirm("svc", lead, [&](Confirmation told, Nanos) { is = told; });
+        means.confirmPrimary("svc", lead, [&](Confirmation told, Nanos) { is = told; });
         world.carry(self);
         world.run(millis(1500));
         return is;
     };
-    Lead lead;
+    PrimaryRecord lead;
     lead.store = "s0";
-    lead.seq = 1;
-    means.change("svc", 0, lead, [](auto) {});
+    lead.sequence = 1;
+    means.compareAndSet("svc", 0, lead, [](auto) {});
     world.carry(self);
     world.run(millis(200));
-    EXPECT_EQ(confirms(lead), Confirmation::stands);
-    Lead other = lead;
-    other.fence = 1;
+    EXPECT_EQ(confirms(lead), Confirmation::current);
+    PrimaryRecord other = lead;
+    other.fencingToken = 1;
     EXPECT_EQ(confirms(other), Confirmation::replaced);
     for (int i = 1; i < 3; ++i) world.cut.insert({self, world.address(i)});
     EXPECT_EQ(confirms(lead), Confirmation::unknown);
     world.cut.clear();
     world.run(millis(2000));
-    EXPECT_EQ(confirms(lead), Confirmation::stands);
+    EXPECT_EQ(confirms(lead), Confirmation::current);
     // A majority answers in time, but the member sleeps through its lease and the next round is still to
     // come.
     std::optional<Confirmation> late;
-    means.confirm("svc", lead, [&](Confirmation told, Nanos) { late = told; });
+    means.confirmPrimary("svc", lead, [&](Confirmation told, Nanos) { late = told; });
     world.carry(self);
     world.frozen.insert(self);
     world.run(millis(800));
@@ -647,7 +648,7 @@
     world.run(millis(20));
     EXPECT_EQ(late, Confirmation::unknown);
     world.run(millis(1000));
-    EXPECT_EQ(confirms(lead), Confirmation::stands);
+    EXPECT_EQ(confirms(lead), Confirmation::current);
 }
 
 TEST(Promotion, ReadsThePlatformsGuaranteesFromTheSettings) {
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -12,12 +12,12 @@
 using World = standins::ControlWorld;
 
 Json leadOf(std::uint64_t sequence, bool steady) {
-    Lead lead;
+    PrimaryRecord lead;
     lead.store = "i-1";
     lead.term = 3;
-    lead.seq = sequence;
-    lead.steady = steady;
-    return written(lead);
+    lead.sequence = sequence;
+    lead.settled = steady;
+    return toJson(lead);
 }
 
 Slot slotOf(std::uint64_t round, const Json& value) {
@@ -86,17 +86,17 @@
         return static_cast<std::size_t>(
             std::count_if(said.begin(), said.end(), [&](const Json& each) { return each.at("k") == kind; }));
     }
-    std::optional<LeaseAnswer> round(std::uint64_t epoch) {
+    std::optional<LeaseRoundReply> round(std::uint64_t epoch) {
         said.clear();
-        hear(1, LeaseQuestion{4, epoch}.toJson());
+        hear(1, LeaseRoundRequest{4, epoch}.toJson());
         for (const Json& each : said)
-            if (each.at("k") == "roundok") return LeaseAnswer::fromJson(each);
+            if (each.at("k") == "roundok") return LeaseRoundReply::fromJson(each);
         return std::nullopt;
     }
-    LeadMarks toldUnderLease() {
+    UnsettledSequences toldUnderLease() {
         said.clear();
         hear(1, {{"k", "lease?"}, {"t", 1}});
-        return said.at(0).at("c").get<LeadMarks>();
+        return said.at(0).at("c").get<UnsettledSequences>();
     }
     void news(const std::string& name, std::uint64_t version, const Json& body) {
         hear(1, board::News{{{name, {version, 0}, std::nullopt, body}}}.toJson());
@@ -115,11 +115,11 @@
     for (const bool steady : {false, true}) {
         Lone lone(
             {{"core", coreOf(1, {"a", "b", "c"})}, {"slot/lead/svc", written(slotOf(4, leadOf(6, steady)))}});
-        EXPECT_EQ(lone.round(1)->unsettled, (LeadMarks{{"svc", 6}}));
-        EXPECT_EQ(lone.toldUnderLease(), (LeadMarks{{"svc", 6}}));
+        EXPECT_EQ(lone.round(1)->unsettled, (UnsettledSequences{{"svc", 6}}));
+        EXPECT_EQ(lone.toldUnderLease(), (UnsettledSequences{{"svc", 6}}));
         // Once the board shows it: an unsteady one is still told, as the asker's board may not have it yet.
         lone.news("lead/svc", 6, leadOf(6, steady));
-        EXPECT_EQ(lone.round(1)->unsettled, steady ? LeadMarks{} : (LeadMarks{{"svc", 6}}));
+        EXPECT_EQ(lone.round(1)->unsettled, steady ? UnsettledSequences{} : (UnsettledSequences{{"svc", 6}}));
     }
 }
 
@@ -129,20 +129,20 @@
     lone.run(millis(1300));
     for (const int link : {1, 2}) lone.dump(link, 1, {{"lead/svc", slotOf(4, leadOf(6, false))}});
     ASSERT_TRUE(lone.votes());
-    EXPECT_EQ(lone.round(1)->unsettled, (LeadMarks{{"svc", 6}}));
+    EXPECT_EQ(lone.round(1)->unsettled, (UnsettledSequences{{"svc", 6}}));
 }
 
 TEST(UnsettledLead, ToldByAVoterStandsAsLongAsALeaseMayRestOnIt) {
     Lone lone({{"core", coreOf(1, {"a", "b", "c"})}});
-    lone.hear(1, LeaseAnswer{1, 1, {{"svc", 6}}}.toJson());
-    EXPECT_EQ(lone.toldUnderLease(), (LeadMarks{{"svc", 6}}));
-    lone.now += LeaseRounds::leaseTime - 1;
-    EXPECT_EQ(lone.toldUnderLease(), (LeadMarks{{"svc", 6}}));
+    lone.hear(1, LeaseRoundReply{1, 1, {{"svc", 6}}}.toJson());
+    EXPECT_EQ(lone.toldUnderLease(), (UnsettledSequences{{"svc", 6}}));
+    lone.now += LeaseRounds::leaseDuration - 1;
+    EXPECT_EQ(lone.toldUnderLease(), (UnsettledSequences{{"svc", 6}}));
     lone.now += 1;  // nobody says so any more
-    EXPECT_EQ(lone.toldUnderLease(), LeadMarks{});
-    lone.hear(1, LeaseAnswer{1, 1, {{"svc", 6}}}.toJson());
+    EXPECT_EQ(lone.toldUnderLease(), UnsettledSequences{});
+    lone.hear(1, LeaseRoundReply{1, 1, {{"svc", 6}}}.toJson());
     lone.news("lead/svc", 6, leadOf(6, true));
-    EXPECT_EQ(lone.toldUnderLease(), LeadMarks{});
+    EXPECT_EQ(lone.toldUnderLease(), UnsettledSequences{});
 }
 
 // ---- the lease ----------------------------------------------------------------------------------------
@@ -150,29 +150,29 @@
 TEST(Lease, IsHadFromAMajorityOfOneEpochOnly) {
     const Core first{1, {"a", "b", "c", "d"}}, second{2, {"a", "b", "c"}};
     LeaseRounds rounds;
-    const LeaseQuestion old = rounds.begin(first, "a", millis(1000));
+    const LeaseRoundRequest old = rounds.begin(first, "a", millis(1000));
     rounds.answered("b", {old.round, 1, {}}, first);
     // The epoch changes: three of the earlier epoch are no two of this one.
     rounds.answered("c", {old.round, 1, {}}, second);
     rounds.answered("c", {old.round, 2, {}}, second);
-    EXPECT_EQ(rounds.until(), 0);
-    const LeaseQuestion present = rounds.begin(second, "a", millis(1100));
+    EXPECT_EQ(rounds.expiresAt(), 0);
+    const LeaseRoundRequest present = rounds.begin(second, "a", millis(1100));
     rounds.answered("b", {present.round, 1, {}}, second);
     rounds.answered("d", {present.round, 2, {}}, second);
-    EXPECT_EQ(rounds.until(), 0);
+    EXPECT_EQ(rounds.expiresAt(), 0);
     rounds.answered("b", {present.round, 2, {}}, second);
-    EXPECT_EQ(rounds.until(), millis(1100) + LeaseRounds::leaseTime);
+    EXPECT_EQ(rounds.expiresAt(), millis(1100) + LeaseRounds::leaseDuration);
 }
 
 TEST(Lease, RunsFromTheSendingHoweverLateAnAnswerIsRead) {
     Lone lone({{"core", coreOf(1, {"a", "b", "c"})}});
     lone.run(millis(100));
-    lone.hear(1, LeaseAnswer{1, 1, {}}.toJson());
+    lone.hear(1, LeaseRoundReply{1, 1, {}}.toJson());
     EXPECT_GT(lone.lease(), 500);
     // Frozen for 20 s with an answer in its buffer: that ends long before, and nothing is told under it.
     lone.run(millis(300));
     lone.now += millis(20'000);
-    lone.hear(1, LeaseAnswer{2, 1, {}}.toJson());
+    lone.hear(1, LeaseRoundReply{2, 1, {}}.toJson());
     lone.said.clear();
     lone.hear(1, {{"k", "lease?"}, {"t", 1}});
     EXPECT_EQ(lone.said.at(0).at("left"), 0);
--- a/tests/system/succession.cpp
+++ b/tests/system/succession.cpp
@@ -12,19 +12,19 @@
 TEST(Succession, LosesNothingWhicheverReplicaIsFurther) {
     for (const char* ahead : {"s1", "s2"}) {
         Rule rule;
-        Succession owner("m1", "svc", millis(900), rule);
+        Failover owner("m1", "svc", millis(900), rule);
         Nanos now = millis(10'000);
-        owner.own(true, now);
+        owner.setOwner(true, now);
         settleDown(rule, owner, now, millis(500));
-        ASSERT_TRUE(rule.lead && rule.lead->steady);
+        ASSERT_TRUE(rule.lead && rule.lead->settled);
         rule.databases.deaf(ahead[1] == '1' ? "s2" : "s1", true);
         for (int i = 0; i < 5; ++i) rule.write("w" + std::to_string(i));
         ASSERT_EQ(rule.acknowledged.size(), 5u);
         rule.databases.dark("s0", true);
-        owner.suspected("s0", now);
+        owner.primarySuspected("s0", now);
         settleDown(rule, owner, now, millis(4000));
         EXPECT_EQ(rule.databases.lead(), ahead);
-        ASSERT_TRUE(rule.lead->steady);
+        ASSERT_TRUE(rule.lead->settled);
         EXPECT_EQ(rule.lead->store, ahead);
         for (const std::string& id : rule.acknowledged) EXPECT_EQ(rule.databases.effects(id), 1) << id;
     }
@@ -32,15 +32,15 @@
 
 TEST(Succession, WaitsForTheReplicaThatMayHoldTheLastCommit) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
+    Failover owner("m1", "svc", millis(900), rule);
     Nanos now = millis(10'000);
-    owner.own(true, now);
+    owner.setOwner(true, now);
     settleDown(rule, owner, now, millis(500));
     rule.databases.deaf("s2", true);
     rule.write("w1");
     rule.databases.dark("s0", true);
     rule.databases.dark("s1", true);  // the one that has it
-    owner.suspected("s0", now);
+    owner.primarySuspected("s0", now);
     settleDown(rule, owner, now, millis(6000));
     EXPECT_EQ(rule.databases.lead(), "s0");
     EXPECT_EQ(rule.highestFence, 0u);
@@ -52,33 +52,33 @@
 
 TEST(Succession, PromotesNothingForAFalseAlarm) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
+    Failover owner("m1", "svc", millis(900), rule);
     Nanos now = millis(10'000);
-    owner.own(true, now);
+    owner.setOwner(true, now);
     settleDown(rule, owner, now, millis(500));
     for (int i = 0; i < 20; ++i) {
-        owner.suspected("s0", now);
+        owner.primarySuspected("s0", now);
         settleDown(rule, owner, now, millis(250));
     }
-    EXPECT_EQ(rule.lead->fence, 0u);
+    EXPECT_EQ(rule.lead->fencingToken, 0u);
     // It is silent for a while, and back before anyone could be promoted: it leads on, and its replicas
     // receive.
     rule.databases.dark("s0", true);
-    owner.suspected("s0", now);
+    owner.primarySuspected("s0", now);
     settleDown(rule, owner, now, millis(500));
     rule.databases.dark("s0", false);
     settleDown(rule, owner, now, millis(3000));
     EXPECT_EQ(rule.databases.lead(), "s0");
-    EXPECT_TRUE(rule.lead->steady);
+    EXPECT_TRUE(rule.lead->settled);
     rule.write("w1");
     EXPECT_EQ(rule.acknowledged.size(), 1u);
 }
 
 TEST(Succession, PassesOnAPlannedLeadWithoutCuttingAnythingBack) {
     Rule rule;
-    Succession owner("m1", "svc", millis(900), rule);
+    Failover owner("m1", "svc", millis(900), rule);
     Nanos now = millis(10'000);
-    owner.own(true, now);
+    owner.setOwner(true, now);
     settleDown(rule, owner, now, millis(500));
     rule.beat("s0", "winding_down");
     for (int i = 0; i < 60; ++i) {
@@ -89,7 +89,7 @@
     }
     settleDown(rule, owner, now, millis(2000));
     EXPECT_NE(rule.databases.lead(), "s0");
-    EXPECT_TRUE(rule.lead->steady);
+    EXPECT_TRUE(rule.lead->settled);
     EXPECT_GT(rule.acknowledged.size(), 55u);
     for (const std::string& id : rule.acknowledged) EXPECT_EQ(rule.databases.effects(id), 1) << id;
     rule.write("last");
@@ -105,8 +105,8 @@
             for (int steps = 0; steps < 14; ++steps) {
                 Rule rule;
                 Nanos now = millis(10'000);
-                auto first = std::make_unique<Succession>("m1", "svc", millis(900), rule);
-                first->own(true, now);
+                auto first = std::make_unique<Failover>("m1", "svc", millis(900), rule);
+                first->setOwner(true, now);
                 settleDown(rule, *first, now, millis(500));
                 rule.databases.deaf("s2", true);
                 for (int i = 0; i < 4; ++i) rule.write("w" + std::to_string(i));
@@ -114,7 +114,7 @@
                 if (planned)
                     rule.databases.deaf("s2", false), rule.beat("s0", "winding_down");
                 else
-                    rule.databases.dark("s0", true), first->suspected("s0", now);
+                    rule.databases.dark("s0", true), first->primarySuspected("s0", now);
                 int left = steps;
                 Outputs late;
                 for (int i = 0; i < 80 && left > 0; ++i, now += millis(50)) {
@@ -128,9 +128,9 @@
                 }
                 late = std::exchange(rule.out, {});
                 first.reset();
-                Succession second("m2", "svc", millis(900), rule);
-                second.own(true, now);
-                if (!planned) second.suspected("s0", now);
+                Failover second("m2", "svc", millis(900), rule);
+                second.setOwner(true, now);
+                if (!planned) second.primarySuspected("s0", now);
                 settleDown(rule, second, now, millis(500));
                 // What the dead one had still on its way comes late: an older fence changes nothing.
                 const std::string leads = rule.databases.lead();
@@ -141,11 +141,11 @@
                         rule.serve(second, now);
                         EXPECT_EQ(rule.databases.lead(), leads);
                     }
-                if (!planned) second.suspected("s0", now);
+                if (!planned) second.primarySuspected("s0", now);
                 settleDown(rule, second, now, millis(9000));
-                if (!planned && rule.lead && rule.lead->store == "s0") second.suspected("s0", now);
+                if (!planned && rule.lead && rule.lead->store == "s0") second.primarySuspected("s0", now);
                 settleDown(rule, second, now, millis(5000));
-                ASSERT_TRUE(rule.lead && rule.lead->steady) << planned << answers << steps;
+                ASSERT_TRUE(rule.lead && rule.lead->settled) << planned << answers << steps;
                 EXPECT_NE(rule.databases.lead(), "s0") << planned << answers << steps;
                 EXPECT_EQ(rule.lead->store, rule.databases.lead()) << planned << answers << steps;
                 for (const std::string& id : rule.acknowledged)
