--- a/src/control/member_duties.cpp
+++ b/src/control/member_duties.cpp
@@ -27,7 +27,7 @@
 void ControlMember::compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
                                   std::function<void(std::optional<PrimaryRecord>)> done) {
     const std::string name = "lead/" + service;
-    const Json wanted = toJson(to);
+    const Json wanted = serializePrimaryRecord(to);
     // An equal value may stand that another life of this member wrote: only one that was applied here counts.
     const auto applied = std::make_shared<bool>(false);
     proposer_.begin({name,
@@ -51,10 +51,11 @@
                                    std::function<void(Confirmation, Nanos now)> done) {
     const std::string name = "lead/" + service;
     proposer_.begin({name, [](const Json& was) { return was; },
-                     [this, name, wanted = toJson(expected), done = std::move(done)](std::optional<Json> is) {
+                     [this, name, wanted = serializePrimaryRecord(expected),
+                      done = std::move(done)](std::optional<Json> is) {
                          if (is) learn(name, *is);
                          const auto lead = is ? parsePrimaryRecord(*is) : std::nullopt;
-                         if (is && (!lead || toJson(*lead) != wanted))
+                         if (is && (!lead || serializePrimaryRecord(*lead) != wanted))
                              return done(Confirmation::replaced, now_);
                          const bool contact = leased(now_);
                          done(is && contact ? Confirmation::current : Confirmation::unknown, now_);
--- a/src/control/primary_record.cpp
+++ b/src/control/primary_record.cpp
@@ -2,7 +2,7 @@
 
 namespace granitereel::control {
 
-Json toJson(const PrimaryRecord& primary) {
+Json serializePrimaryRecord(const PrimaryRecord& primary) {
     Json body = {{"store", primary.store},       {"term", primary.term},
                  {"seq", primary.sequence},      {"fence", primary.fencingToken},
                  {"holder", primary.owner},      {"steady", primary.settled},
@@ -23,7 +23,7 @@
     primary.owner = body.at("holder");
     primary.settled = body.at("steady");
     primary.replicas = body.at("replicas").get<std::set<std::string>>();
-    if (body.contains("addresses"))  // none in what was written before they were kept
+    if (body.contains("addresses"))  // absent in records of earlier versions
         primary.addresses = body["addresses"].get<std::map<std::string, std::string>>();
     primary.recentReplicas = body.value("young", RecentReplicas());
     primary.vacatedAddresses = body.value("vacated", std::set<std::string>());
--- a/src/control/primary_record.hpp
+++ b/src/control/primary_record.hpp
@@ -1,5 +1,5 @@
-// The record of a service's lead, as its register holds it and as all are told: who leads in which term, who
-// owns the duty, and who its replicas are.
+// The record of a service's primary, as stored in its register and replicated to all processes: which store
+// is primary in which term, which member owns the failover, and which replicas there are.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,23 @@
 
 using Json = nlohmann::json;
 
-// What the register "lead/SERVICE" holds.
+// The value of the register "lead/SERVICE".
 struct PrimaryRecord {
     std::string store;
     std::uint64_t term = 0, sequence = 0, fencingToken = 0;
-    std::string owner;               // the member that owns the duty
+    std::string owner;               // the member that owns the failover
     bool settled = false;            // no promotion may be under way
-    std::set<std::string> replicas;  // also those that left and were not released yet
-    // Of the replicas those that are on record for a short while only: a proxy may rest on a record without
-    // them.
+    std::set<std::string> replicas;  // including departed ones that are not released yet
+    // Replicas that were added recently, with their ages: a proxy may still be using a record without them.
     RecentReplicas recentReplicas;
-    // Addresses of released replicas that were not young: a log passes on to the next store there.
+    // Addresses of released established replicas: the next store there takes over their logs.
     std::set<std::string> vacatedAddresses;
-    std::map<std::string, std::string> addresses;  // of the replicas: a log passes on at its address
-    // Of the log of the lead before, what this store had for certain when it was promoted; none: not known.
+    std::map<std::string, std::string> addresses;  // of the replicas: the next store there takes over the log
+    // The position up to which this store certainly had the previous primary's log when it was promoted;
+    // none: unknown.
     std::optional<LogPosition> retained;
 };
-Json toJson(const PrimaryRecord& primary);
+Json serializePrimaryRecord(const PrimaryRecord& primary);
 std::optional<PrimaryRecord> parsePrimaryRecord(const Json& body);
 
 }  // namespace granitereel::control
--- a/standins/promotion_rig.hpp
+++ b/standins/promotion_rig.hpp
@@ -77,7 +77,7 @@
                     if (applies) rig.write(to);
                     if (answersCut) return;
                     rig.toOwner(*this, rig.delay(), [this, applies, to, once] {
-                        if (applies) known.put("lead/svc", {{to.sequence, 0}, toJson(to)});
+                        if (applies) known.put("lead/svc", {{to.sequence, 0}, serializePrimaryRecord(to)});
                         if (const auto told = std::exchange(*once, nullptr))
                             told(applies ? std::optional(to) : std::nullopt);
                     });
@@ -93,7 +93,7 @@
                 *this,
                 [this, expected, once] {
                     if (answersCut) return;
-                    const bool stands = rig.lead && toJson(*rig.lead) == toJson(expected);
+                    const bool stands = rig.lead && serializePrimaryRecord(*rig.lead) == serializePrimaryRecord(expected);
                     rig.toOwner(*this, rig.delay(), [this, stands, once] {
                         if (const auto told = std::exchange(*once, nullptr))
                             told(stands ? Confirmation::current : Confirmation::replaced, clock());
@@ -361,7 +361,7 @@
     }
     void write(const PrimaryRecord& to) {
         lead = to;
-        publish("lead/svc", {{to.sequence, 0}, toJson(to)});
+        publish("lead/svc", {{to.sequence, 0}, serializePrimaryRecord(to)});
     }
     void publish(const std::string& name, board::Record record) {
         truth.put(name, record);
--- a/standins/succession_rig.hpp
+++ b/standins/succession_rig.hpp
@@ -44,12 +44,12 @@
                        std::function<void(std::optional<PrimaryRecord>)> done) override {
         if ((lead ? lead->sequence : 0) != ifSeq) return done(std::nullopt);
         lead = to;
-        known.put("lead/svc", {{to.sequence, 0}, toJson(to)});
+        known.put("lead/svc", {{to.sequence, 0}, serializePrimaryRecord(to)});
         done(to);
     }
     void confirmPrimary(const std::string&, const PrimaryRecord& expected,
                         std::function<void(Confirmation, Nanos)> done) override {
-        const bool stands = lead && toJson(*lead) == toJson(expected);
+        const bool stands = lead && serializePrimaryRecord(*lead) == serializePrimaryRecord(expected);
         done(stands ? Confirmation::current : Confirmation::replaced, clock);
     }
     const board::Board& board() const override { return known; }
--- a/tests/system/acknowledgements.cpp
+++ b/tests/system/acknowledgements.cpp
@@ -401,7 +401,8 @@
     ASSERT_TRUE(rig.lead->settled);
     EXPECT_NE(rig.lead->store, "s0");
     EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
-    EXPECT_EQ(control::parsePrimaryRecord(control::toJson(*rig.lead))->retained, (LogPosition{1, 3}));
+    EXPECT_EQ(control::parsePrimaryRecord(control::serializePrimaryRecord(*rig.lead))->retained,
+              (LogPosition{1, 3}));
     rig.beat("s9");  // a store that is new: its record is written, the position stays
     settleDown(rig, owner, now, millis(1000));
     EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
--- a/tests/system/recovery.cpp
+++ b/tests/system/recovery.cpp
@@ -17,7 +17,7 @@
     lead.term = 3;
     lead.sequence = sequence;
     lead.settled = steady;
-    return toJson(lead);
+    return serializePrimaryRecord(lead);
 }
 
 Slot slotOf(std::uint64_t round, const Json& value) {
