--- a/src/control/lease.hpp
+++ b/src/control/lease.hpp
@@ -14,34 +14,34 @@
 namespace granitereel::control {
 
 // Services whose lead may change or has changed, each with the sequence number of that change.
-using LeadMarks = std::map<std::string, std::uint64_t>;
+using UnsettledSequences = std::map<std::string, std::uint64_t>;
 
-struct LeaseQuestion {
+struct LeaseRoundRequest {
     static constexpr const char* kind = "round";
     std::uint64_t round = 0, epoch = 0;
     Json toJson() const;
-    static LeaseQuestion fromJson(const Json& message);  // throws nlohmann::json::exception
+    static LeaseRoundRequest fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
-struct LeaseAnswer {
+struct LeaseRoundReply {
     static constexpr const char* kind = "roundok";
     std::uint64_t round = 0, epoch = 0;
-    LeadMarks unsettled;
-    std::uint64_t configuration = 0;  // the version that the voter holds; 0: none
+    UnsettledSequences unsettled;
+    std::uint64_t configurationRevision = 0;  // the version that the voter holds; 0: none
     Json toJson() const;
-    static LeaseAnswer fromJson(const Json& message);  // throws nlohmann::json::exception
+    static LeaseRoundReply fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
 class LeaseRounds {
 public:
     // How long what was told of leads may be believed, counted from when the question for it was sent.
-    static constexpr Nanoseconds leaseTime = milliseconds(700);
+    static constexpr Nanoseconds leaseDuration = milliseconds(700);
 
     // Begins a round in this epoch. `ownVote`: the voter that this member is, or empty.
-    LeaseQuestion begin(const VoterSet& voterSet, const std::string& ownVote, Nanoseconds now);
+    LeaseRoundRequest begin(const VoterSet& voterSet, const std::string& ownVote, Nanoseconds now);
     // Counts only where round, answer and this member's present epoch are one.
-    void answered(const std::string& voter, const LeaseAnswer& answer, const VoterSet& voterSet);
-    Nanoseconds until() const { return until_; }
+    void answered(const std::string& voter, const LeaseRoundReply& answer, const VoterSet& voterSet);
+    Nanoseconds expiresAt() const { return expiresAt_; }
 
 private:
     struct Round {
@@ -49,11 +49,11 @@
         Nanoseconds sentAt = 0;
         std::set<std::string> voters;
     };
-    void count(Round& round, const std::string& voter, const VoterSet& voterSet);
+    void countVote(Round& round, const std::string& voter, const VoterSet& voterSet);
 
     std::map<std::uint64_t, Round> rounds_;
-    std::uint64_t last_ = 0;
-    Nanoseconds until_ = 0;
+    std::uint64_t lastRound_ = 0;
+    Nanoseconds expiresAt_ = 0;
 };
 
 }  // namespace granitereel::control
--- a/src/control/member.cpp
+++ b/src/control/member.cpp
@@ -56,7 +56,7 @@
         }
         if (name.starts_with("slot/")) {
             acceptor_.load(name.substr(5), slotFromJson(body));
-            unsettledPrimaries_.holds(name.substr(5), acceptor_.slot(name.substr(5)).value);
+            unsettledPrimaries_.accepted(name.substr(5), acceptor_.slot(name.substr(5)).value);
         }
     }
     if (voterSet_.epoch) {
@@ -128,7 +128,7 @@
     if (name.starts_with("member/"))
         membership_.updateStatus(name.substr(7), MemberStatus::fromJson(record.body));
     clearIfPublished(name);
-    stores_.news(name, record, now_);
+    stores_.recordChanged(name, record, now_);
 }
 
 namespace {
@@ -156,7 +156,7 @@
 // Publishes a chosen value of a register as a record for all.
 void ControlMember::publishChosen(const std::string& name, const Json& value) {
     if (value.is_null()) return;
-    const Json body = name == "config" ? EditionLog::fromJson(value).configuration() : value;
+    const Json body = name == "config" ? ConfigurationRevisions::fromJson(value).configuration() : value;
     gossip_.put(name, {versionOf(name, value), body});
 }
 
@@ -176,7 +176,7 @@
     gossip_.noteActivity(link);
     dispatch(link, message, now);
     if (membership_.changeInProgress(now)) membership_.tick(hasVote(), now);
-    calls_.serveWaiting(now);
+    calls_.runWaitingCalls(now);
     sendProposerRequests(now);
     continueShutdown(now);
 }
@@ -193,25 +193,25 @@
         handleHello(link, peer, Hello::fromJson(message), now);
     } else if (gossip::isGossipMessage(kind)) {
         gossip_.receive(link, message);
-        if (!peer.dialled.empty() && gossip_.isComplete(link)) stores_.boardHeardFrom(peer.dialled);
-    } else if (kind == StoreRecordReplicate::kind) {
-        if (const auto reply = stores_.hold(StoreRecordReplicate::fromJson(message), now))
+        if (!peer.dialled.empty() && gossip_.isComplete(link)) stores_.recordsReceivedFrom(peer.dialled);
+    } else if (kind == StoreReplicationRequest::kind) {
+        if (const auto reply = stores_.replicate(StoreReplicationRequest::fromJson(message), now))
             send(link, reply->toJson());
-    } else if (kind == StoreRecordHeld::kind) {
-        stores_.held(peer.dialled, StoreRecordHeld::fromJson(message), now);
+    } else if (kind == StoreReplicationReply::kind) {
+        stores_.replicationAnswered(peer.dialled, StoreReplicationReply::fromJson(message), now);
     } else if (isVoteRequest(kind)) {
         handleVoteRequest(link, message);
     } else if (isVoteReply(kind)) {
         proposer_.handleReply(peer.dialled, message, now);
     } else if (kind == CurrentVoterSet::kind) {
         adoptVoterSet(CurrentVoterSet::fromJson(message).voterSet);
-    } else if (kind == LeaseQuestion::kind) {
+    } else if (kind == LeaseRoundRequest::kind) {
         handleLeaseRequest(link, peer, message, now);
-    } else if (kind == LeaseAnswer::kind) {
+    } else if (kind == LeaseRoundReply::kind) {
         handleLeaseReply(link, peer, message, now);
     } else if (kind == gossip::LeaseRequest::kind) {
         const std::uint64_t number = gossip::LeaseRequest::fromJson(message).number;
-        const Nanoseconds left = std::max<Nanoseconds>(0, lease_.until() - now);
+        const Nanoseconds left = std::max<Nanoseconds>(0, lease_.expiresAt() - now);
         send(link, gossip::LeaseReply{number, left, unsettledPrimaries_.all(recordTable(), now),
                                       gossip::configurationVersion(recordTable())}
                        .toJson());
@@ -257,12 +257,13 @@
 
 // Another member asks for its lease.
 void ControlMember::handleLeaseRequest(int link, const Peer& peer, const Json& message, Nanoseconds now) {
-    const LeaseQuestion question = LeaseQuestion::fromJson(message);
+    const LeaseRoundRequest question = LeaseRoundRequest::fromJson(message);
     if (!peer.member.empty())
         calls_.contacts().update(peer.member, durationField(message, "lease_left_us"), now);
     if (hasVote() && question.epoch == voterSet_.epoch) {
-        const LeaseAnswer answer{question.round, question.epoch, unsettledPrimaries_.own(recordTable()),
-                                 gossip::configurationVersion(recordTable())};
+        const LeaseRoundReply answer{question.round, question.epoch,
+                                     unsettledPrimaries_.acceptedLocally(recordTable()),
+                                     gossip::configurationVersion(recordTable())};
         send(link, withLeaseLeft(answer.toJson()));
     }
     // A member that was cut off during a change of voters learns the current voter set.
@@ -271,14 +272,15 @@
 
 void ControlMember::handleLeaseReply(int link, const Peer& peer, const Json& message, Nanoseconds now) {
     calls_.contacts().update(peer.dialled, durationField(message, "lease_left_us"), now);
-    const LeaseAnswer answer = LeaseAnswer::fromJson(message);
-    unsettledPrimaries_.told(answer.unsettled, now);
+    const LeaseRoundReply answer = LeaseRoundReply::fromJson(message);
+    unsettledPrimaries_.reported(answer.unsettled, now);
     // Until the record exchange on this link is complete, the voter may know of a change that this member
     // does not. Counting its reply could start a lease on outdated records.
     if (!gossip_.isComplete(link)) return;
-    if (const std::uint64_t held = gossip::configurationVersion(recordTable()); held < answer.configuration) {
+    if (const std::uint64_t held = gossip::configurationVersion(recordTable());
+        held < answer.configurationRevision) {
         reportViolation(newsBeforeLease_, "configuration " + std::to_string(held) + ", and " + peer.dialled +
-                                              " holds " + std::to_string(answer.configuration));
+                                              " holds " + std::to_string(answer.configurationRevision));
         return gossip_.restartExchange(link);
     }
     lease_.answered(peer.dialled, answer, voterSet_);
@@ -305,7 +307,7 @@
     for (const auto& [name, slot] : reply.slots) {
         if (!acceptor_.mergeRecovered(name, slot)) continue;
         outputs_.push_back(ToDisk{"slot/" + name, slotToJson(acceptor_.slot(name))});
-        unsettledPrimaries_.holds(name, acceptor_.slot(name).value);
+        unsettledPrimaries_.accepted(name, acceptor_.slot(name).value);
     }
     if (!recovery_.isComplete(voterSet_, newestAcceptedEpoch())) return;
     recovering_ = false;
@@ -370,7 +372,7 @@
 // Tracks an accepted value until it is published; only a proposer can tell whether it was chosen.
 void ControlMember::trackAccepted(const std::string& name) {
     const Json& value = acceptor_.slot(name).value;
-    unsettledPrimaries_.holds(name, value);
+    unsettledPrimaries_.accepted(name, value);
     if (!value.is_null() && !isPublished(name, value)) unpublished_.try_emplace(name, now_);
 }
 
@@ -405,13 +407,13 @@
 void ControlMember::startLeaseRound(Nanoseconds now) {
     if (!voterSet_.epoch || now - lastLeaseRoundAt_ < leaseRoundInterval) return;
     lastLeaseRoundAt_ = now;
-    const LeaseQuestion question = lease_.begin(voterSet_, hasVote() ? self_ : "", now);
+    const LeaseRoundRequest question = lease_.begin(voterSet_, hasVote() ? self_ : "", now);
     for (const std::string& voter : voterSet_.voters)
         if (const int link = voter == self_ ? 0 : linkTo(voter)) send(link, withLeaseLeft(question.toJson()));
 }
 
 Json ControlMember::withLeaseLeft(Json message) const {
-    message["lease_left_us"] = std::max<Nanoseconds>(0, lease_.until() - now_) / 1000;
+    message["lease_left_us"] = std::max<Nanoseconds>(0, lease_.expiresAt() - now_) / 1000;
     return message;
 }
 
@@ -540,11 +542,12 @@
 void ControlMember::tick(Nanoseconds now) {
     now_ = now;
     gossip_.advance(now, leased(now));
-    if (auto line = contactMonitor_.update(lease_.until(), now)) outputs_.push_back(ToLog{std::move(*line)});
+    if (auto line = contactMonitor_.update(lease_.expiresAt(), now))
+        outputs_.push_back(ToLog{std::move(*line)});
     publishMemberRecord();
     startLeaseRound(now);
     stores_.tick(now);
-    calls_.serveWaiting(now);
+    calls_.runWaitingCalls(now);
     proposer_.tick(now);
     for (std::string& text : proposer_.takeFailures()) outputs_.push_back(ToLog{std::move(text)});
     continueRecovery(now);
@@ -583,7 +586,7 @@
             {"votes", hasVote()},
             {"recovering", recovering_},
             {"disk", toString(diskMonitor_.health())},
-            {"lease_left_ms", std::max<Nanoseconds>(0, lease_.until() - now) / 1'000'000},
+            {"lease_left_ms", std::max<Nanoseconds>(0, lease_.expiresAt() - now) / 1'000'000},
             {"edition", config ? Json(config->version.major) : Json()},
             {"registers", acceptor_.slots().size()},
             {"leads", primaries}};
--- a/src/control/member.hpp
+++ b/src/control/member.hpp
@@ -13,6 +13,7 @@
 #include "configuration/configuration.hpp"
 #include "control/call_router.hpp"
 #include "control/disk_health.hpp"
+#include "control/failover.hpp"
 #include "control/graceful_shutdown.hpp"
 #include "control/lease.hpp"
 #include "control/membership.hpp"
@@ -22,8 +23,7 @@
 #include "control/recovery.hpp"
 #include "control/register.hpp"
 #include "control/store_registry.hpp"
-#include "control/succession.hpp"
-#include "control/unsettled_leads.hpp"
+#include "control/unsettled_primaries.hpp"
 #include "gossip/control_contact_monitor.hpp"
 #include "gossip/invariant.hpp"
 #include "gossip/lease.hpp"
@@ -33,11 +33,11 @@
 
 namespace granitereel::control {
 
-class ControlMember : public Succession::Means,
+class ControlMember : public Failover::Host,
                       private Membership::Host,
-                      private StoreRegistry::Means,
-                      private OperatorCalls::Means,
-                      private CallRouter::Means {
+                      private StoreRegistry::Host,
+                      private OperatorCalls::Host,
+                      private CallRouter::Host {
 public:
     // `incarnation`: drawn anew for an empty disk, otherwise as stored. `disk`: the records by name, with
     // `processIncarnationKey` already incremented for this start.
@@ -52,8 +52,8 @@
     // An HTTP call; `path` by segments.
     void handleCall(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
                     const std::string& body, Nanoseconds now);
-    void handleStoreReply(std::uint64_t requestId, std::optional<StoreRow> row, Nanoseconds now);
-    void handlePlatformReply(std::uint64_t requestId, PromotionAnswer answer, Nanoseconds now);
+    void handleStoreReply(std::uint64_t requestId, std::optional<StoreStatus> row, Nanoseconds now);
+    void handlePlatformReply(std::uint64_t requestId, PromotionOutcome answer, Nanoseconds now);
     // The reply of this member's own vote (ToSelf), once the vote is durable.
     void handleDurableVote(const Json& reply, Nanoseconds now);
     // Health of the disk; called before each tick and on every change.
@@ -84,11 +84,11 @@
     };
 
     Outputs& outputs() override { return outputs_; }
-    std::uint64_t nextAsk(Succession& requester) override;
-    void change(const std::string& service, std::uint64_t ifSeq, Lead to,
-                std::function<void(std::optional<Lead>)> done) override;
-    void confirm(const std::string& service, const Lead& expected,
-                 std::function<void(Confirmation, Nanoseconds now)> done) override;
+    std::uint64_t nextRequestId(Failover& requester) override;
+    void compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
+                       std::function<void(std::optional<PrimaryRecord>)> done) override;
+    void confirmPrimary(const std::string& service, const PrimaryRecord& expected,
+                        std::function<void(Confirmation, Nanoseconds now)> done) override;
     const gossip::RecordTable& recordTable() const override { return gossip_.recordTable(); }
     int syncReplicas(const std::string& service) const override;
 
@@ -97,18 +97,18 @@
     void sendTo(const std::string& voter, Json message) override;
     const VoterSet& voterSet() const override { return voterSet_; }
     void answerStore(std::uint64_t call, CallOutcome outcome) override {
-        calls_.answerOrSendOn(call, outcome, "{}", now_);
+        calls_.answerOrRedirect(call, outcome, "{}", now_);
     }
 
     void beginChange(RegisterChange change, Nanoseconds now, Nanoseconds until) override;
-    void configurationStands(const Json& value) override { publishChosen("config", value); }
+    void configurationChosen(const Json& value) override { publishChosen("config", value); }
     void answerOperator(std::uint64_t call, CallOutcome outcome, std::string body) override {
-        calls_.answerOrSendOn(call, outcome, std::move(body), now_);
+        calls_.answerOrRedirect(call, outcome, std::move(body), now_);
     }
     void log(std::string line) override { outputs_.push_back(ToLog{std::move(line)}); }
 
     void send(int link, Json message) { outputs_.push_back(ToLink{link, std::move(message)}); }
-    bool leased(Nanoseconds now) const override { return voterSet_.epoch && now < lease_.until(); }
+    bool leased(Nanoseconds now) const override { return voterSet_.epoch && now < lease_.expiresAt(); }
     bool leaving() const override { return shutdown_.started(); }
     bool diskRefuses() const override { return diskMonitor_.health() == DiskHealth::refuses; }
     std::string stateText(Nanoseconds now) const override { return state(now).dump(); }
@@ -171,12 +171,12 @@
     std::map<int, Peer> peers_;
     std::map<std::string, std::string> incarnations_;
     std::map<std::string, Nanoseconds> lastContact_;
-    UnsettledLeads unsettledPrimaries_;
+    UnsettledPrimaries unsettledPrimaries_;
     LeaseRounds lease_;
     gossip::ControlContactMonitor contactMonitor_;
     gossip::Invariant newsBeforeLease_{gossip::configurationBeforeLease};
-    std::map<std::string, std::unique_ptr<Succession>> failovers_;
-    std::map<std::uint64_t, Succession*> pendingRequests_;
+    std::map<std::string, std::unique_ptr<Failover>> failovers_;
+    std::map<std::uint64_t, Failover*> pendingRequests_;
     std::uint64_t nextRequestId_ = 1;
     Nanoseconds lastLeaseRoundAt_ = 0, startedAt_, lastResolveAt_ = 0;
     configuration::Configuration configuration_;
--- a/src/control/member_failover.cpp
+++ b/src/control/member_failover.cpp
@@ -20,15 +20,15 @@
 }
 }  // namespace
 
-std::uint64_t ControlMember::nextAsk(Succession& requester) {
+std::uint64_t ControlMember::nextRequestId(Failover& requester) {
     pendingRequests_[nextRequestId_] = &requester;
     return nextRequestId_++;
 }
 
-void ControlMember::change(const std::string& service, std::uint64_t ifSeq, Lead to,
-                           std::function<void(std::optional<Lead>)> done) {
+void ControlMember::compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
+                                  std::function<void(std::optional<PrimaryRecord>)> done) {
     const std::string name = "lead/" + service;
-    const Json wanted = written(to);
+    const Json wanted = serializePrimaryRecord(to);
     // An equal value may have been written by an earlier process of this member: the change succeeded only
     // if it was applied here. Otherwise two processes could both act as the one that made it.
     const auto applied = std::make_shared<bool>(false);
@@ -43,7 +43,7 @@
                      [this, name, wanted, applied, done = std::move(done)](std::optional<Json> chosen) {
                          if (chosen) publishChosen(name, *chosen);
                          const bool ours = chosen && *applied && *chosen == wanted;
-                         done(ours ? readLead(*chosen) : std::nullopt);
+                         done(ours ? parsePrimaryRecord(*chosen) : std::nullopt);
                      }},
                     now_, now_ + changeTimeout);
     sendProposerRequests(now_);
@@ -51,19 +51,20 @@
 
 // Reads the register with a majority that promises to reject lower ballots: any replacement of the primary
 // is chosen after this read began.
-void ControlMember::confirm(const std::string& service, const Lead& expected,
-                            std::function<void(Confirmation, Nanoseconds now)> done) {
+void ControlMember::confirmPrimary(const std::string& service, const PrimaryRecord& expected,
+                                   std::function<void(Confirmation, Nanoseconds now)> done) {
     const std::string name = "lead/" + service;
-    proposer_.begin(
-        {name, [](const Json& current) { return current; },
-         [this, name, wanted = written(expected), done = std::move(done)](std::optional<Json> chosen) {
-             if (chosen) publishChosen(name, *chosen);
-             const auto lead = chosen ? readLead(*chosen) : std::nullopt;
-             if (chosen && (!lead || written(*lead) != wanted)) return done(Confirmation::replaced, now_);
-             const bool contact = leased(now_);
-             done(chosen && contact ? Confirmation::stands : Confirmation::unknown, now_);
-         }},
-        now_, now_ + changeTimeout);
+    proposer_.begin({name, [](const Json& current) { return current; },
+                     [this, name, wanted = serializePrimaryRecord(expected),
+                      done = std::move(done)](std::optional<Json> chosen) {
+                         if (chosen) publishChosen(name, *chosen);
+                         const auto lead = chosen ? parsePrimaryRecord(*chosen) : std::nullopt;
+                         if (chosen && (!lead || serializePrimaryRecord(*lead) != wanted))
+                             return done(Confirmation::replaced, now_);
+                         const bool contact = leased(now_);
+                         done(chosen && contact ? Confirmation::current : Confirmation::unknown, now_);
+                     }},
+                    now_, now_ + changeTimeout);
     sendProposerRequests(now_);
 }
 
@@ -75,7 +76,7 @@
 void ControlMember::handleSuspicion(const Json& message, Nanoseconds now) {
     const std::string service = message.at("service");
     const auto found = failovers_.find(service);
-    if (found != failovers_.end()) found->second->suspected(message.at("store"), now);
+    if (found != failovers_.end()) found->second->primarySuspected(message.at("store"), now);
     // Another member may own the failover of this service; the message is forwarded once.
     if (message.value("passed", false)) return;
     Json forwarded = message;
@@ -84,22 +85,23 @@
         if (!peer.dialled.empty()) send(link, forwarded);
 }
 
-void ControlMember::handleStoreReply(std::uint64_t requestId, std::optional<StoreRow> row, Nanoseconds now) {
+void ControlMember::handleStoreReply(std::uint64_t requestId, std::optional<StoreStatus> row,
+                                     Nanoseconds now) {
     now_ = now;
     const auto found = pendingRequests_.find(requestId);
     if (found == pendingRequests_.end()) return;
-    Succession* requester = found->second;
+    Failover* requester = found->second;
     pendingRequests_.erase(found);
-    requester->answered(requestId, row, now);
+    requester->statementAnswered(requestId, row, now);
 }
 
-void ControlMember::handlePlatformReply(std::uint64_t requestId, PromotionAnswer answer, Nanoseconds now) {
+void ControlMember::handlePlatformReply(std::uint64_t requestId, PromotionOutcome answer, Nanoseconds now) {
     now_ = now;
     const auto found = pendingRequests_.find(requestId);
     if (found == pendingRequests_.end()) return;
-    Succession* requester = found->second;
+    Failover* requester = found->second;
     pendingRequests_.erase(found);
-    requester->promoted(requestId, answer, now);
+    requester->promotionAnswered(requestId, answer, now);
 }
 
 // The failover of each service is owned by the reachable voter with the highest rendezvous hash.
@@ -113,13 +115,13 @@
             (found != lastContact_.end() && now - found->second < maxLinkDownTime))
             reachable.push_back(voter);
     }
-    const bool majority = reachable.size() >= voterSet_.majority() && now < lease_.until();
+    const bool majority = reachable.size() >= voterSet_.majority() && now < lease_.expiresAt();
     recordTable().forEachWithPrefix("store/", [&](const std::string&, const gossip::Record& record) {
         if (!record.body.is_object()) return;
         auto& failover = failovers_[record.body.at("service").get<std::string>()];
         if (!failover)
-            failover = std::make_unique<Succession>(
-                self_, record.body.at("service"), LeaseRounds::leaseTime + driftOfClocks, *this,
+            failover = std::make_unique<Failover>(
+                self_, record.body.at("service"), LeaseRounds::leaseDuration + maxClockDrift, *this,
                 PlatformGuarantees{settings_.platformChecksFencingToken, milliseconds(settings_.lease_ms)});
     });
     std::erase_if(reachable, [this](const std::string& voter) { return hasUnhealthyDisk(voter); });
@@ -128,7 +130,7 @@
             std::max_element(reachable.begin(), reachable.end(), [&, &name = service](auto& a, auto& b) {
                 return rendezvousWeight(a, name) < rendezvousWeight(b, name);
             });
-        failover->own(majority && hasVote() && owner != reachable.end() && *owner == self_, now);
+        failover->setOwner(majority && hasVote() && owner != reachable.end() && *owner == self_, now);
         failover->tick(now);
     }
 }
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "control/edition_log.hpp"
+#include "control/configuration_revisions.hpp"
 #include "control/outputs.hpp"
 #include "control/register.hpp"
 #include "nanoseconds.hpp"
@@ -15,24 +15,24 @@
 class OperatorCalls {
 public:
     // What is needed of the member.
-    struct Means {
-        virtual ~Means() = default;
-        virtual void beginChange(RegisterChange change, Nanoseconds now, Nanoseconds until) = 0;
+    struct Host {
+        virtual ~Host() = default;
+        virtual void beginChange(RegisterChange change, Nanoseconds now, Nanoseconds deadline) = 0;
         // The register's value that was seen to stand.
-        virtual void configurationStands(const Json& value) = 0;
+        virtual void configurationChosen(const Json& value) = 0;
         virtual void answerOperator(std::uint64_t call, CallOutcome kind, std::string body) = 0;
         virtual void log(std::string line) = 0;
     };
-    explicit OperatorCalls(Means& means) : means_(means) {}
+    explicit OperatorCalls(Host& host) : host_(host) {}
 
     // PUT /config with a body that was found valid. By `until` it is answered, and the
     // configuration may stand or not where there was no majority; the same body may be sent again anywhere.
-    void put(std::uint64_t call, const Json& sent, Nanoseconds now, Nanoseconds until);
+    void put(std::uint64_t call, const Json& configuration, Nanoseconds now, Nanoseconds deadline);
     // GET /config.
-    void get(std::uint64_t call, Nanoseconds now, Nanoseconds until);
+    void get(std::uint64_t call, Nanoseconds now, Nanoseconds deadline);
 
 private:
-    Means& means_;
+    Host& host_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -14,26 +14,27 @@
 namespace granitereel::control {
 
 // Replicas that a proxy may not know of yet, with their ages in steps.
-using YoungReplicas = std::map<std::string, unsigned>;
+using RecentReplicas = std::map<std::string, unsigned>;
 
 class ReplicaAges {
 public:
     // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
     // that counts from a lease before and whose clock is slow.
-    static constexpr unsigned grownUp = 3;
-    static constexpr Nanoseconds step = (gossip::recordsUsableAfterLease + milliseconds(5000)) / grownUp;
+    static constexpr unsigned establishedAge = 3;
+    static constexpr Nanoseconds ageStep =
+        (gossip::recordsUsableAfterLease + milliseconds(5000)) / establishedAge;
 
     // What the record says now.
-    void note(const YoungReplicas& onRecord, Nanoseconds now);
+    void update(const RecentReplicas& onRecord, Nanoseconds now);
     // In steps, at most `grownUp`; 0: not seen on record yet.
     unsigned age(const std::string& replica, Nanoseconds now) const;
 
 private:
-    struct Seen {
+    struct Observation {
         unsigned age = 0;  // at `since`, in steps
         Nanoseconds since = 0;
     };
-    std::map<std::string, Seen> seen_;
+    std::map<std::string, Observation> observations_;
 };
 
 }  // namespace granitereel::control
--- a/src/control/unsettled_leads.hpp
+++ b/src/control/unsettled_primaries.hpp
@@ -6,36 +6,36 @@
 #include <map>
 #include <string>
 
+#include "control/failover.hpp"
 #include "control/lease.hpp"
-#include "control/succession.hpp"
 #include "gossip/record_table.hpp"
 
 namespace granitereel::control {
 
-class UnsettledLeads {
+class UnsettledPrimaries {
 public:
     // What this member's disk now holds accepted of a register; others than leads' are passed over.
-    void holds(const std::string& name, const Json& value);
+    void accepted(const std::string& name, const Json& value);
     // What a voter answered. It stands until the board has the change, or as long as a lease can rest on
     // that answer.
-    void told(const LeadMarks& marks, Nanoseconds now);
+    void reported(const UnsettledSequences& sequences, Nanoseconds now);
 
     // As this member answers a round: accepted here, and unsteady or newer than the board.
-    LeadMarks own(const gossip::RecordTable& recordTable) const;
+    UnsettledSequences acceptedLocally(const gossip::RecordTable& recordTable) const;
     // As it tells those under its lease: its own and those told.
-    LeadMarks all(const gossip::RecordTable& recordTable, Nanoseconds now) const;
+    UnsettledSequences all(const gossip::RecordTable& recordTable, Nanoseconds now) const;
 
 private:
-    struct Held {
+    struct Accepted {
         std::uint64_t sequence = 0;
-        bool steady = false;
+        bool settled = false;
     };
-    struct Told {
+    struct Reported {
         std::uint64_t sequence = 0;
-        Nanoseconds until = 0;
+        Nanoseconds expiresAt = 0;
     };
-    std::map<std::string, Held> held_;
-    std::map<std::string, Told> told_;
+    std::map<std::string, Accepted> accepted_;
+    std::map<std::string, Reported> reported_;
 };
 
 }  // namespace granitereel::control
--- a/src/proxy/agent_updates.cpp
+++ b/src/proxy/agent_updates.cpp
@@ -164,7 +164,7 @@
     service.term = body.at("term");
     service.seq = body.at("seq");
     service.steady = body.at("steady");
-    service.primaryEvidence.updateRecord(service.term, readMark(body.value("retained", "")));
+    service.primaryEvidence.updateRecord(service.term, parseLogPosition(body.value("retained", "")));
     service.replicaEvidence.updateRecord(service.term, body.value("replicas", std::set<std::string>()));
     if (previous != service.primary) onPrimaryChanged(service, previous);
     resolveUnconfirmedWrites();
--- a/src/proxy/commit_horizon.cpp
+++ b/src/proxy/commit_horizon.cpp
@@ -11,14 +11,14 @@
 constexpr std::size_t maxPairs = 400;
 }  // namespace
 
-void CommitHorizon::observe(const Mark& position, Nanoseconds sentAt) {
+void CommitHorizon::observe(const LogPosition& position, Nanoseconds sentAt) {
     // Responses on different connections overtake each other: the response to a later query may carry
     // a lower position than one that was received earlier. It covers its own send time only with the
     // higher of both.
     if (!pairs_.empty()) {
         Pair& last = pairs_.back();
         if (sentAt <= last.sentAt) return;
-        const Mark highest = std::max(position, last.position);
+        const LogPosition highest = std::max(position, last.position);
         if (sentAt - last.sentAt < minPairSpacing && pairs_.size() > 1 &&
             sentAt - pairs_[pairs_.size() - 2].sentAt < minPairSpacing) {
             last = {highest, sentAt};
@@ -31,11 +31,11 @@
     if (pairs_.size() > maxPairs) pairs_.pop_front();
 }
 
-std::optional<Mark> CommitHorizon::positionCovering(Nanoseconds since) const {
+std::optional<LogPosition> CommitHorizon::positionCovering(Nanoseconds since) const {
     return positionCovering(since, 0);
 }
 
-std::optional<Mark> CommitHorizon::positionCovering(Nanoseconds since, std::uint64_t term) const {
+std::optional<LogPosition> CommitHorizon::positionCovering(Nanoseconds since, std::uint64_t term) const {
     auto found = std::lower_bound(pairs_.begin(), pairs_.end(), since,
                                   [](const Pair& pair, Nanoseconds when) { return pair.sentAt < when; });
     while (found != pairs_.end() && found->position.term < term) ++found;
@@ -43,10 +43,10 @@
     return found->position;
 }
 
-std::optional<Nanoseconds> CommitHorizon::coveredUntil(const Mark& position) const {
+std::optional<Nanoseconds> CommitHorizon::coveredUntil(const LogPosition& position) const {
     auto above =
         std::upper_bound(pairs_.begin(), pairs_.end(), position,
-                         [](const Mark& wanted, const Pair& pair) { return wanted < pair.position; });
+                         [](const LogPosition& wanted, const Pair& pair) { return wanted < pair.position; });
     if (above == pairs_.begin()) return {};
     return std::prev(above)->sentAt;
 }
--- a/src/proxy/commit_horizon.hpp
+++ b/src/proxy/commit_horizon.hpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <optional>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanoseconds.hpp"
 
 namespace granitereel::proxy {
@@ -15,21 +15,21 @@
 class CommitHorizon {
 public:
     // Records that all commits acknowledged before `sentAt` lie at or below `position`.
-    void observe(const Mark& position, Nanoseconds sentAt);
+    void observe(const LogPosition& position, Nanoseconds sentAt);
     // The lowest position known to cover every commit acknowledged before `since`.
-    std::optional<Mark> positionCovering(Nanoseconds since) const;
+    std::optional<LogPosition> positionCovering(Nanoseconds since) const;
     // The same, restricted to positions of this term or a later one.
-    std::optional<Mark> positionCovering(Nanoseconds since, std::uint64_t term) const;
+    std::optional<LogPosition> positionCovering(Nanoseconds since, std::uint64_t term) const;
     // The time before which every acknowledged commit lies at or below the position; nullopt if
     // nothing is known.
-    std::optional<Nanoseconds> coveredUntil(const Mark& position) const;
+    std::optional<Nanoseconds> coveredUntil(const LogPosition& position) const;
     // The latest time for which a covering position is known.
     std::optional<Nanoseconds> newestTime() const;
     bool empty() const { return pairs_.empty(); }
 
 private:
     struct Pair {
-        Mark position;
+        LogPosition position;
         Nanoseconds sentAt;
     };
     std::deque<Pair> pairs_;  // ascending in both position and time
--- a/src/proxy/pooler.hpp
+++ b/src/proxy/pooler.hpp
@@ -212,7 +212,7 @@
         std::optional<PendingStatement> pending;
         StoreConnection* connection = nullptr;  // the connection that its open transaction is pinned to
         // The log position of its last write and when that was sent: reads on routes of mode `own` see it.
-        std::optional<Mark> ownPosition;
+        std::optional<LogPosition> ownPosition;
         Nanoseconds ownPositionAt = 0, idleSince = 0;
         std::deque<std::string> requestQueue;
         std::size_t queuedBytes = 0;
@@ -308,7 +308,7 @@
     // Reports an attempt's outcome to the router, and whether the statement has had its final response.
     void reportOutcome(const RoutedAttempt& attempt, Store& store, AttemptOutcome outcome,
                        std::optional<Nanoseconds> coveredUntil, bool finished);
-    void reportLagging(Store& store, std::optional<Mark> position);
+    void reportLagging(Store& store, std::optional<LogPosition> position);
     void rollBackAndRelease(StoreConnection& connection, const std::string& statementId);
     void returnToPool(StoreConnection& connection);
     void closeConnection(StoreConnection& connection);
--- a/src/proxy/primary_evidence.hpp
+++ b/src/proxy/primary_evidence.hpp
@@ -10,16 +10,16 @@
 #include <cstdint>
 #include <optional>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanoseconds.hpp"
 
 namespace granitereel::proxy {
 
 // A write that its store has acknowledged, but that has not been reported to its client yet.
 struct AcknowledgedWrite {
-    std::optional<Mark> position;  // of the store's log after the write
-    std::uint64_t term = 0;        // in which the store was primary
-    Nanoseconds answeredAt = 0;    // when the store's response was received
+    std::optional<LogPosition> position;  // of the store's log after the write
+    std::uint64_t term = 0;               // in which the store was primary
+    Nanoseconds answeredAt = 0;           // when the store's response was received
 };
 
 // Whether an acknowledged write survives failover.
@@ -34,7 +34,7 @@
     // Applies the primary record. `retained`: the part of the previous primary's log that the present
     // one certainly had when it was promoted. A new term discards the settled time granted for the
     // previous one.
-    void updateRecord(std::uint64_t term, std::optional<Mark> retained);
+    void updateRecord(std::uint64_t term, std::optional<LogPosition> retained);
     // Extends the settled time: a lease under which the recorded primary is settled runs until
     // `until`, and no promotion compares the replicas' logs before then. Like a lease, it is never
     // shortened.
@@ -46,7 +46,7 @@
 
 private:
     std::uint64_t term_ = 0;
-    std::optional<Mark> retained_;
+    std::optional<LogPosition> retained_;
     Nanoseconds settledUntil_ = 0;
 };
 
--- a/src/proxy/reads.cpp
+++ b/src/proxy/reads.cpp
@@ -31,7 +31,7 @@
     }
     const Nanoseconds receivedAt = session.transaction ? session.transaction->receivedAt : pending.receivedAt;
     const Nanoseconds oldestAllowed = receivedAt - milliseconds(route->staleness_ms);
-    std::optional<Mark> requiredPosition = service.commitHorizon.positionCovering(oldestAllowed);
+    std::optional<LogPosition> requiredPosition = service.commitHorizon.positionCovering(oldestAllowed);
     if (route->mode == configuration::ReadMode::ownWrites && session.ownPosition) {
         // A position of an earlier term may have been cut from the log together with others'
         // commits, so it is not compared with this term's positions; those cover the session's
@@ -42,7 +42,7 @@
             requiredPosition = std::max(*requiredPosition, *session.ownPosition);
     }
     if (requiredPosition) {
-        after = "AFTER " + written(*requiredPosition) + " ";
+        after = "AFTER " + toString(*requiredPosition) + " ";
         return true;
     }
     guarded = true;
@@ -51,7 +51,7 @@
 
 // The replica was chosen optimistically and lacks the required position: the router uses it again when it may
 // have caught up.
-void Pooler::reportLagging(Store& store, std::optional<Mark> position) {
+void Pooler::reportLagging(Store& store, std::optional<LogPosition> position) {
     ++counters_.lagging;
     const std::optional<Nanoseconds> coveredUntil =
         position ? store.service->commitHorizon.coveredUntil(*position) : std::nullopt;
--- a/src/proxy/replica_checks.cpp
+++ b/src/proxy/replica_checks.cpp
@@ -27,14 +27,14 @@
 // have the highest position among them.
 void Pooler::queryReplicas() {
     for (auto& [name, service] : services_) openReplicaCheckConnections(*service);
-    std::map<Service*, Mark> highest;
+    std::map<Service*, LogPosition> highest;
     for (const int client : unconfirmedClients_) {
         const auto found = sessions_.find(client);
         if (found == sessions_.end() || !found->second->pending || !found->second->pending->unconfirmed)
             continue;
         const UnconfirmedWrite& unconfirmed = *found->second->pending->unconfirmed;
         if (!unconfirmed.write.position || !replicaListIsCurrent(*unconfirmed.service)) continue;
-        Mark& wanted = highest[unconfirmed.service];
+        LogPosition& wanted = highest[unconfirmed.service];
         wanted = std::max(wanted, *unconfirmed.write.position);
     }
     for (const auto& [service, position] : highest) {
@@ -96,7 +96,7 @@
     connection.lastUsedAt = now_;
     std::string_view row = response.rows;
     nextField(row);
-    const auto status = response.error ? std::nullopt : readRow(std::string(row));
+    const auto status = response.error ? std::nullopt : parseStoreStatus(std::string(row));
     if (status) connection.store->service->replicaEvidence.recordStatus(connection.store->id, *status);
     returnToPool(connection);
     resolveUnconfirmedWrites();
--- a/src/proxy/replica_evidence.cpp
+++ b/src/proxy/replica_evidence.cpp
@@ -11,18 +11,18 @@
     replicas_ = std::move(replicas);
 }
 
-void ReplicaEvidence::recordStatus(const std::string& replica, const StoreRow& status) {
-    if (status.primary || status.term != term_ || status.received.term != term_) return;
-    Mark& highest = received_[replica];
-    highest = std::max(highest, status.received);
+void ReplicaEvidence::recordStatus(const std::string& replica, const StoreStatus& status) {
+    if (status.primary || status.term != term_ || status.receivedPosition.term != term_) return;
+    LogPosition& highest = received_[replica];
+    highest = std::max(highest, status.receivedPosition);
 }
 
-bool ReplicaEvidence::mayLack(const std::string& replica, const Mark& position) const {
+bool ReplicaEvidence::mayLack(const std::string& replica, const LogPosition& position) const {
     const auto found = received_.find(replica);
     return position.term != term_ || found == received_.end() || found->second < position;
 }
 
-bool ReplicaEvidence::allHave(const Mark& position, int syncReplicas) const {
+bool ReplicaEvidence::allHave(const LogPosition& position, int syncReplicas) const {
     const auto required = static_cast<std::size_t>(std::max(1, syncReplicas));
     return replicas_.size() >= required &&
            std::none_of(replicas_.begin(), replicas_.end(),
--- a/src/proxy/replica_evidence.hpp
+++ b/src/proxy/replica_evidence.hpp
@@ -12,9 +12,9 @@
 #include <set>
 #include <string>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "nanoseconds.hpp"
-#include "store_row.hpp"
+#include "store_status.hpp"
 
 namespace granitereel::proxy {
 
@@ -25,17 +25,17 @@
     const std::set<std::string>& replicas() const { return replicas_; }
     // Records a status that the replica reported on a connection opened while the primary was
     // settled.
-    void recordStatus(const std::string& replica, const StoreRow& status);
+    void recordStatus(const std::string& replica, const StoreStatus& status);
     // Whether every recorded replica, and at least as many as are synchronous, has received the
     // position in its term.
-    bool allHave(const Mark& position, int syncReplicas) const;
+    bool allHave(const LogPosition& position, int syncReplicas) const;
     // Whether the replica is not known to have the position and still has to be queried.
-    bool mayLack(const std::string& replica, const Mark& position) const;
+    bool mayLack(const std::string& replica, const LogPosition& position) const;
 
 private:
     std::uint64_t term_ = 0;
     std::set<std::string> replicas_;
-    std::map<std::string, Mark> received_;
+    std::map<std::string, LogPosition> received_;
 };
 
 }  // namespace granitereel::proxy
--- a/src/proxy/statement_exchange.cpp
+++ b/src/proxy/statement_exchange.cpp
@@ -187,7 +187,7 @@
     std::string bytes =
         response.error ? formatError(*response.error, response.errorText) : response.rows + response.done;
     bytes.append("READY ").append(1, state).append(" ");
-    bytes.append(response.position ? written(*response.position) : "-").append("\r\n");
+    bytes.append(response.position ? toString(*response.position) : "-").append("\r\n");
     outputs_.push_back(SendToClient{session.client, std::move(bytes)});
     ++(response.error ? counters_.promised : counters_.answered);
     if (!session.pending->key.empty()) sessionsByKey_.erase(session.pending->key);
--- a/src/proxy/store_response.cpp
+++ b/src/proxy/store_response.cpp
@@ -8,7 +8,7 @@
     const std::string_view state = nextField(rest);
     if (state != "I" && state != "T" && state != "E") return false;
     response.state = state[0];
-    response.position = readMark(rest);
+    response.position = parseLogPosition(rest);
     return true;
 }
 
--- a/src/proxy/store_response.hpp
+++ b/src/proxy/store_response.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "mark.hpp"
+#include "log_position.hpp"
 #include "proxy/wire.hpp"
 
 namespace granitereel::proxy {
@@ -18,7 +18,7 @@
     std::optional<Error> error;
     std::string errorText;
     char state = 'I';  // transaction state: I (none), T (open) or E (failed)
-    std::optional<Mark> position;
+    std::optional<LogPosition> position;
 };
 
 class StoreResponseReader {
--- a/tests/system/acknowledgements.cpp
+++ b/tests/system/acknowledgements.cpp
@@ -61,7 +61,7 @@
 TEST(PrimaryEvidence, KeepsAWriteThatWasAnsweredUnderALeaseOfItsTerm) {
     PrimaryEvidence evidence;
     evidence.updateRecord(3, {});
-    const AcknowledgedWrite write{Mark{3, 7}, 3, milliseconds(100)};
+    const AcknowledgedWrite write{LogPosition{3, 7}, 3, milliseconds(100)};
     EXPECT_EQ(evidence.durabilityOf(write), WriteDurability::undecided);
     evidence.extendSettled(milliseconds(100));
     EXPECT_EQ(evidence.durabilityOf(write),
@@ -78,27 +78,27 @@
     evidence.extendSettled(milliseconds(900));
     evidence.updateRecord(4, {});
     EXPECT_FALSE(evidence.isSettled(milliseconds(100)));
-    EXPECT_EQ(evidence.durabilityOf({Mark{3, 7}, 3, milliseconds(100)}), WriteDurability::unknown);
-    EXPECT_EQ(evidence.durabilityOf({Mark{4, 1}, 4, milliseconds(100)}), WriteDurability::undecided);
-    EXPECT_EQ(evidence.durabilityOf({Mark{5, 1}, 5, milliseconds(100)}), WriteDurability::undecided);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{3, 7}, 3, milliseconds(100)}), WriteDurability::unknown);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{4, 1}, 4, milliseconds(100)}), WriteDurability::undecided);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{5, 1}, 5, milliseconds(100)}), WriteDurability::undecided);
 }
 
 TEST(PrimaryEvidence, KeepsWhatThePromotedStoreHadOfTheTermBefore) {
     PrimaryEvidence evidence;
     evidence.updateRecord(3, {});
-    evidence.updateRecord(4, Mark{3, 7});
-    EXPECT_EQ(evidence.durabilityOf({Mark{3, 6}, 3, 0}), WriteDurability::durable);
-    EXPECT_EQ(evidence.durabilityOf({Mark{3, 7}, 3, 0}), WriteDurability::durable);
-    EXPECT_EQ(evidence.durabilityOf({Mark{3, 8}, 3, 0}), WriteDurability::unknown);
+    evidence.updateRecord(4, LogPosition{3, 7});
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{3, 6}, 3, 0}), WriteDurability::durable);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{3, 7}, 3, 0}), WriteDurability::durable);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{3, 8}, 3, 0}), WriteDurability::unknown);
     EXPECT_EQ(evidence.durabilityOf({std::nullopt, 3, 0}), WriteDurability::unknown);
     // Of the terms before it is not known whether the lead in between had them.
-    EXPECT_EQ(evidence.durabilityOf({Mark{2, 1}, 2, 0}), WriteDurability::unknown);
+    EXPECT_EQ(evidence.durabilityOf({LogPosition{2, 1}, 2, 0}), WriteDurability::unknown);
 }
 
-StoreRow replicaRow(std::uint64_t term, Mark received) {
-    StoreRow row;
+StoreStatus replicaRow(std::uint64_t term, LogPosition received) {
+    StoreStatus row;
     row.term = term;
-    row.received = received;
+    row.receivedPosition = received;
     return row;
 }
 
@@ -123,7 +123,7 @@
     evidence.updateRecord(3, {"s1"});
     evidence.recordStatus("s1", replicaRow(4, {3, 7}));  // follows the next lead: its log may be cut back
     evidence.recordStatus("s1", replicaRow(3, {2, 7}));
-    StoreRow leads = replicaRow(3, {3, 7});
+    StoreStatus leads = replicaRow(3, {3, 7});
     leads.primary = true;
     evidence.recordStatus("s1", leads);
     EXPECT_FALSE(evidence.allHave({3, 7}, 1));
@@ -389,22 +389,23 @@
 // What the promoted store had is written with the lead, and no later change but the next promotion's ends it.
 TEST(Acknowledgements, APromotionWritesWhatThePromotedStoreHad) {
     standins::SuccessionRig rig;
-    control::Succession owner("m1", "svc", milliseconds(750), rig);
+    control::Failover owner("m1", "svc", milliseconds(750), rig);
     Nanoseconds now = milliseconds(10'000);
-    owner.own(true, now);
+    owner.setOwner(true, now);
     settleDown(rig, owner, now, milliseconds(500));
     for (const char* id : {"w1", "w2", "w3"}) rig.write(id);
     ASSERT_TRUE(rig.lead);
     EXPECT_FALSE(rig.lead->retained);
     rig.databases.dark("s0", true);
-    owner.suspected("s0", now);
+    owner.primarySuspected("s0", now);
     settleDown(rig, owner, now, milliseconds(3000));
-    ASSERT_TRUE(rig.lead->steady);
+    ASSERT_TRUE(rig.lead->settled);
     EXPECT_NE(rig.lead->store, "s0");
-    EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
-    EXPECT_EQ(control::readLead(control::written(*rig.lead))->retained, (Mark{1, 3}));
+    EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
+    EXPECT_EQ(control::parsePrimaryRecord(control::serializePrimaryRecord(*rig.lead))->retained,
+              (LogPosition{1, 3}));
     rig.beat("s9");  // a store that is new: its record is written, the position stays
     settleDown(rig, owner, now, milliseconds(1000));
-    EXPECT_EQ(rig.lead->retained, (Mark{1, 3}));
+    EXPECT_EQ(rig.lead->retained, (LogPosition{1, 3}));
 }
 }  // namespace
--- a/tests/system/inputs.cpp
+++ b/tests/system/inputs.cpp
@@ -44,10 +44,10 @@
 }
 
 TEST(Marks, CompareByTermFirst) {
-    EXPECT_LT(*readMark("2.900"), *readMark("3.1"));
+    EXPECT_LT(*parseLogPosition("2.900"), *parseLogPosition("3.1"));
     for (const char* bad : {"", "-", "3", "3.", ".4", "3.4.5", "a.b", "3.4x"})
-        EXPECT_FALSE(readMark(bad)) << bad;
-    EXPECT_EQ(written(*readMark("3.1207")), "3.1207");
+        EXPECT_FALSE(parseLogPosition(bad)) << bad;
+    EXPECT_EQ(toString(*parseLogPosition("3.1207")), "3.1207");
 }
 
 TEST(CommitHorizon, CoversWhatWasAcknowledgedBefore) {
@@ -59,11 +59,11 @@
         milliseconds(1100));  // overtaken on its way: shows less, and covers as much as the one before
     horizon.observe({1, 20}, milliseconds(1200));
     horizon.observe({2, 21}, milliseconds(1300));
-    EXPECT_EQ(*horizon.positionCovering(milliseconds(900)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.positionCovering(milliseconds(1100)), (Mark{1, 10}));
-    EXPECT_EQ(*horizon.positionCovering(milliseconds(1101)), (Mark{1, 20}));
+    EXPECT_EQ(*horizon.positionCovering(milliseconds(900)), (LogPosition{1, 10}));
+    EXPECT_EQ(*horizon.positionCovering(milliseconds(1100)), (LogPosition{1, 10}));
+    EXPECT_EQ(*horizon.positionCovering(milliseconds(1101)), (LogPosition{1, 20}));
     EXPECT_FALSE(horizon.positionCovering(milliseconds(1301)));
-    EXPECT_EQ(*horizon.positionCovering(milliseconds(900), 2), (Mark{2, 21}));
+    EXPECT_EQ(*horizon.positionCovering(milliseconds(900), 2), (LogPosition{2, 21}));
     EXPECT_EQ(*horizon.coveredUntil({1, 15}), milliseconds(1100));
     EXPECT_FALSE(horizon.coveredUntil({1, 9}));
     EXPECT_EQ(*horizon.coveredUntil({3, 1}), milliseconds(1300));
--- a/tests/system/members.cpp
+++ b/tests/system/members.cpp
@@ -122,7 +122,7 @@
                 EXPECT_EQ(answer->outcome, CallOutcome::accepted);
             }
         }
-        const auto* record = static_cast<const Succession::Means&>(control).recordTable().find("store/i-1");
+        const auto* record = static_cast<const Failover::Host&>(control).recordTable().find("store/i-1");
         ASSERT_TRUE(record);
         // Gone stays gone where anything was known before; else the highest number counts.
         const bool knownBefore = order[0] != 2;
@@ -220,7 +220,7 @@
     world.run(milliseconds(1500));
     const std::string self = standins::ControlWorld::address(0);
     ControlMember& member = *world.members[self].control;
-    const auto& recordTable = static_cast<Succession::Means&>(member).recordTable();
+    const auto& recordTable = static_cast<Failover::Host&>(member).recordTable();
     constexpr int link = 1000;
     member.linkUp(link, "", world.now);
     member.handleMessage(link, {{"k", "hello"}, {"kind", "front"}, {"station", "f1"}}, world.now);
@@ -259,7 +259,7 @@
     world.run(milliseconds(2000));
     const std::string here = World::address(0), away = "member/" + World::address(2);
     world.kill(World::address(2));
-    const auto& recordTable = static_cast<Succession::Means&>(*world.members[here].control).recordTable();
+    const auto& recordTable = static_cast<Failover::Host&>(*world.members[here].control).recordTable();
     for (const Nanoseconds until = world.now + 2 * gossip::renewalTimeout; world.now < until;) {
         world.now += milliseconds(49);  // so that each step is one in which members tick
         world.step();
