--- a/src/control/call_router.cpp
+++ b/src/control/call_router.cpp
@@ -7,87 +7,89 @@
 
 namespace granitereel::control {
 
-void CallRouter::answer(std::uint64_t call, Kind kind, std::string body) {
-    openCalls_.erase(call);
-    host_.toCaller({call, kind, std::move(body), {}});
+void CallRouter::answer(std::uint64_t callId, Kind kind, std::string body) {
+    openCalls_.erase(callId);
+    host_.toCaller({callId, kind, std::move(body), {}});
 }
 
-void CallRouter::call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
+void CallRouter::call(std::uint64_t callId, const std::string& method, const std::vector<std::string>& path,
                       const std::string& body, Nanos now) {
     const std::string resource = path.empty() ? "" : path[0];
     const std::string route = method + " " + resource + (path.size() > 1 ? "/ID" : "");
     const bool isKnown = resource == "config" || resource == "stores" || resource == "state";
-    if (host_.leaving() && isKnown && resource != "state") return answer(call, Kind::leaving);
-    openCalls_[call] = {"/" + resource + (path.size() > 1 ? "/" + path[1] : ""), now + maxAnswerTime};
+    if (host_.leaving() && isKnown && resource != "state") return answer(callId, Kind::leaving);
+    openCalls_[callId] = {"/" + resource + (path.size() > 1 ? "/" + path[1] : ""), now + maxAnswerTime};
     if (path.size() <= 2) {
-        if (route == "PUT stores/ID") return putStore(call, path[1], body, now);
+        if (route == "PUT stores/ID") return putStore(callId, path[1], body, now);
         if (route == "DELETE stores/ID")
             return runUnderLease(
-                call,
-                [this, call, id = path[1]](Nanos startedAt, Nanos deadline) {
-                    stores_.deregisterStore(call, id, deadline, startedAt);
+                callId,
+                [this, callId, id = path[1]](Nanos startedAt, Nanos deadline) {
+                    stores_.deregisterStore(callId, id, deadline, startedAt);
                 },
                 now);
-        if (route == "PUT config") return putConfiguration(call, body, now);
+        if (route == "PUT config") return putConfiguration(callId, body, now);
         if (route == "GET config")
             return runUnderLease(
-                call,
-                [this, call](Nanos startedAt, Nanos deadline) { operators_.get(call, startedAt, deadline); },
+                callId,
+                [this, callId](Nanos startedAt, Nanos deadline) {
+                    operators_.get(callId, startedAt, deadline);
+                },
                 now);
-        if (route == "GET state") return answer(call, Kind::taken, host_.stateText(now));
+        if (route == "GET state") return answer(callId, Kind::taken, host_.stateText(now));
     }
-    answer(call, isKnown ? Kind::notAllowed : Kind::notFound);
+    answer(callId, isKnown ? Kind::notAllowed : Kind::notFound);
 }
 
-// What is invalid is so for any member; all else waits for contact with a majority.
-void CallRouter::putStore(std::uint64_t call, const std::string& id, const std::string& body, Nanos now) {
+// An invalid body is rejected at once, as every member would; everything else waits for the lease.
+void CallRouter::putStore(std::uint64_t callId, const std::string& id, const std::string& body, Nanos now) {
     StoreRegistration registration;
     try {
         registration = StoreRegistration::fromJson(id, body);
     } catch (const Json::exception&) {
-        return answer(call, Kind::notSound, R"({"fault":"not a store's call"})");
+        return answer(callId, Kind::notSound, R"({"fault":"not a store's call"})");
     }
     runUnderLease(
-        call,
-        [this, call, registration](Nanos startedAt, Nanos deadline) {
-            stores_.registerStore(call, registration, deadline, startedAt);
+        callId,
+        [this, callId, registration](Nanos startedAt, Nanos deadline) {
+            stores_.registerStore(callId, registration, deadline, startedAt);
         },
         now);
 }
 
-void CallRouter::putConfiguration(std::uint64_t call, const std::string& body, Nanos now) {
+void CallRouter::putConfiguration(std::uint64_t callId, const std::string& body, Nanos now) {
     Json proposed;
     try {
         configuration::read(body);
         proposed = Json::parse(body);
     } catch (const configuration::Invalid& error) {
-        return answer(call, Kind::notSound, Json{{"fault", error.what()}}.dump());
+        return answer(callId, Kind::notSound, Json{{"fault", error.what()}}.dump());
     }
-    if (host_.diskRefuses()) return answer(call, Kind::unready);
+    if (host_.diskRefuses()) return answer(callId, Kind::unready);
     runUnderLease(
-        call,
-        [this, call, proposed = std::move(proposed)](Nanos startedAt, Nanos deadline) {
-            operators_.put(call, proposed, startedAt, deadline);
+        callId,
+        [this, callId, proposed = std::move(proposed)](Nanos startedAt, Nanos deadline) {
+            operators_.put(callId, proposed, startedAt, deadline);
         },
         now);
 }
 
-void CallRouter::runUnderLease(std::uint64_t call, std::function<void(Nanos, Nanos)> run, Nanos now) {
-    const OpenCall& open = openCalls_.at(call);
+void CallRouter::runUnderLease(std::uint64_t callId, std::function<void(Nanos, Nanos)> run, Nanos now) {
+    const OpenCall& open = openCalls_.at(callId);
     if (host_.leased(now)) return run(now, open.deadline);
     waiting_.add(
-        call, [run = std::move(run), deadline = open.deadline](Nanos startedAt) { run(startedAt, deadline); },
-        now);
+        callId,
+        [run = std::move(run), deadline = open.deadline](Nanos startedAt) { run(startedAt, deadline); }, now);
 }
 
-// What failed for want of a majority is sent on to a member that has one, where one is known.
-void CallRouter::answerOrRedirect(std::uint64_t call, Kind kind, std::string body, Nanos now) {
+// A call that failed for lack of a majority is redirected to a member that has one, if one is known.
+void CallRouter::answerOrRedirect(std::uint64_t callId, Kind kind, std::string body, Nanos now) {
     const bool retryable = kind == Kind::noMajority || kind == Kind::unready;
-    if (!retryable) return answer(call, kind, std::move(body));
+    if (!retryable) return answer(callId, kind, std::move(body));
     const std::optional<std::string> member = host_.leased(now) ? std::nullopt : contacts_.best(now);
-    if (!member) return answer(call, kind);
-    host_.toCaller({call, Kind::elsewhere, {}, "http://" + *member + openCalls_[call].path});
-    openCalls_.erase(call);
+    if (!member) return answer(callId, kind);
+    host_.toCaller({callId, Kind::elsewhere, {}, "http://" + *member + openCalls_[callId].path});
+    openCalls_.erase(callId);
 }
 
 void CallRouter::runWaitingCalls(Nanos now) {
--- a/src/control/call_router.hpp
+++ b/src/control/call_router.hpp
@@ -1,6 +1,6 @@
-// Calls over HTTP at a member of control: which part answers a call, when it may (only while the member holds
-// a lease from a majority), by when, and where a caller is sent on to that this member can't serve. Free of
-// I/O, clocks and chance.
+// Routes a control member's HTTP calls to their handlers, runs them only while the member holds a lease from
+// a majority, limits how long they wait, and redirects callers that this member can't serve. Deterministic:
+// no I/O, clocks or randomness.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,13 @@
 
 class CallRouter {
 public:
-    // What is needed of the member.
+    // Interface to the owning member.
     struct Host {
         virtual ~Host() = default;
         virtual bool leased(Nanos now) const = 0;
-        // Whether the member was told to end, and takes no more calls.
+        // Whether the member is shutting down and accepts no more calls.
         virtual bool leaving() const = 0;
-        // Whether the member's disk takes no bytes.
+        // Whether the member's disk rejects writes.
         virtual bool diskRefuses() const = 0;
         // The body of GET /state.
         virtual std::string stateText(Nanos now) const = 0;
@@ -34,29 +34,29 @@
     CallRouter(Host& host, StoreRegistry& stores, OperatorCalls& operators)
         : host_(host), stores_(stores), operators_(operators) {}
 
-    // A call: the path by segments. Every call is answered once, within `answeredWithin` and a tick.
-    void call(std::uint64_t call, const std::string& method, const std::vector<std::string>& path,
+    // `path`: by segments. Every call is answered exactly once, within `maxAnswerTime` plus one tick.
+    void call(std::uint64_t callId, const std::string& method, const std::vector<std::string>& path,
               const std::string& body, Nanos now);
-    // The final answer, or the way to a member that has a majority where this one hasn't.
-    void answerOrRedirect(std::uint64_t call, Kind kind, std::string body, Nanos now);
-    // Runs what waited for the lease, and ends what waited for too long.
+    // Sends the final answer, or a redirect to a member that has a majority if this one has none.
+    void answerOrRedirect(std::uint64_t callId, Kind kind, std::string body, Nanos now);
+    // Runs the calls that waited for the lease, and fails those that waited too long.
     void runWaitingCalls(Nanos now);
-    // Whether no call is under way.
+    // Whether no call is in progress.
     bool idle() const { return openCalls_.empty(); }
     Contacts& contacts() { return contacts_; }
 
-    // Callers wait a second; with a tick of 50 ms and the way this is within it.
+    // Callers time out after 1 s; this leaves room for a tick of 50 ms and the network.
     static constexpr Nanos maxAnswerTime = millis(850);
 
 private:
     struct OpenCall {
-        std::string path;    // as it was called
-        Nanos deadline = 0;  // the latest moment of its answer
+        std::string path;    // as requested
+        Nanos deadline = 0;  // latest time of the answer
     };
-    void answer(std::uint64_t call, Kind kind, std::string body = {});
-    void putStore(std::uint64_t call, const std::string& id, const std::string& body, Nanos now);
-    void putConfiguration(std::uint64_t call, const std::string& body, Nanos now);
-    void runUnderLease(std::uint64_t call, std::function<void(Nanos now, Nanos deadline)> run, Nanos now);
+    void answer(std::uint64_t callId, Kind kind, std::string body = {});
+    void putStore(std::uint64_t callId, const std::string& id, const std::string& body, Nanos now);
+    void putConfiguration(std::uint64_t callId, const std::string& body, Nanos now);
+    void runUnderLease(std::uint64_t callId, std::function<void(Nanos now, Nanos deadline)> run, Nanos now);
 
     Host& host_;
     StoreRegistry& stores_;
--- a/src/control/configuration_revisions.cpp
+++ b/src/control/configuration_revisions.cpp
@@ -19,7 +19,7 @@
     if (value.is_null()) return revisions;
     revisions.revision_ = value.at("edition");
     if (!value.contains("digests")) {
-        // Written before digests were kept: the configuration alone.
+        // Format of earlier versions: the configuration alone, without digests.
         revisions.configuration_ = value;
         revisions.digests_[revisions.revision_] = configurationDigest(value);
         return revisions;
@@ -32,7 +32,8 @@
 
 Json ConfigurationRevisions::toJson() const {
     if (empty()) return nullptr;
-    // By edition, not in a row: a patch then says what came and what went.
+    // An object keyed by revision, not an array, so that a JSON patch contains only added and removed
+    // entries.
     Json digests = Json::object();
     for (const auto& [revision, digest] : digests_) digests[std::to_string(revision)] = digest;
     return {{"edition", revision_}, {"configuration", configuration_}, {"digests", std::move(digests)}};
@@ -51,8 +52,8 @@
     const auto known = digests_.find(revision);
     if (known != digests_.end())
         return known->second == digest ? RevisionOutcome::duplicate : RevisionOutcome::conflict;
-    // Acknowledged as it stands, so it too has one body from now on, as long as there is room above the
-    // oldest.
+    // It is acknowledged as well, so its number must identify this body from now on, as far as there is room
+    // above the oldest kept revision.
     if (digests_.size() < maxRetained || revision > digests_.begin()->first) {
         digests_[revision] = digest;
         if (digests_.size() > maxRetained) digests_.erase(digests_.begin());
--- a/src/control/configuration_revisions.hpp
+++ b/src/control/configuration_revisions.hpp
@@ -1,5 +1,6 @@
-// The value of the register `config`: the configuration in force and the digests of the last editions that
-// were acknowledged, so that one number stands for one body. Free of I/O, clocks and chance.
+// The value of the register `config`: the current configuration and the digests of the last acknowledged
+// revisions. Invariant: one revision number identifies one body; otherwise two processes could run different
+// configurations under the same number. Deterministic: no I/O, clocks or randomness.
 #pragma once
 
 #include <cstdint>
@@ -11,39 +12,39 @@
 
 using Json = nlohmann::json;
 
-// What became of a configuration that was sent.
+// Result of proposing a configuration.
 enum class RevisionOutcome {
-    applied,    // it is in force now
-    duplicate,  // the same body was taken under this number before
-    stale,      // below the one in force, under a number that is not known: nothing changes
-    conflict,   // another body was taken under this number
+    applied,    // it is the current one now
+    duplicate,  // the same body was applied under this number before
+    stale,      // below the current one, under an unknown number: nothing changes
+    conflict,   // another body was applied under this number
 };
 
 class ConfigurationRevisions {
 public:
-    // So many acknowledged editions stay recognisable.
+    // Number of acknowledged revisions whose digests are kept.
     static constexpr std::size_t maxRetained = 64;
 
-    // The register's value; null is an empty log. Throws nlohmann::json::exception where it is not of this
-    // form.
+    // From the register's value; null: no configuration yet. Throws nlohmann::json::exception if it is
+    // malformed.
     static ConfigurationRevisions fromJson(const Json& value);
     Json toJson() const;
 
-    // Whether any configuration is in force.
+    // Whether there is no configuration yet.
     bool empty() const { return configuration_.is_null(); }
     std::uint64_t revision() const { return revision_; }
     const Json& configuration() const { return configuration_; }
-    // Takes a valid configuration, or tells why it changes nothing.
+    // Applies a valid configuration, or returns why nothing changes.
     RevisionOutcome apply(const Json& proposed);
 
 private:
     std::uint64_t revision_ = 0;
     Json configuration_;
-    std::map<std::uint64_t, std::string> digests_;  // by edition
+    std::map<std::uint64_t, std::string> digests_;  // by revision
 };
 
-// xxHash 64 of the body with its keys sorted, in hexadecimal digits: two texts of one JSON value are one
-// body.
+// xxHash 64 of the body with sorted keys, in hexadecimal: two texts of the same JSON value have the same
+// digest.
 std::string configurationDigest(const Json& body);
 
 }  // namespace granitereel::control
--- a/src/control/failover.cpp
+++ b/src/control/failover.cpp
@@ -7,36 +7,40 @@
 namespace granitereel::control {
 
 namespace {
-// A store that is well answers within a few ms; slow ones within a few times a statement's work. It bounds
-// how late a statement may arrive, so the order of PAUSE and RESUME of two owners rests on it.
+// Healthy stores answer within a few ms, slow ones within a few times a statement's processing time. This
+// bounds how late a statement can arrive; the ordering of PAUSE and RESUME statements of two owners depends
+// on it.
 constexpr int statementTimeout_ms = 300;
-// A lead under suspicion is given less: while the register is written and the lease runs out it is asked
-// again, and leads on if it answers.
+// Shorter for a suspected primary: it is asked again while the register is written and the lease runs out,
+// and remains primary if it answers.
 constexpr int checkTimeout_ms = 150;
-// A lead that was found well is not looked at again for this long, whoever complains.
+// Suspicions are ignored for this long after the primary was found healthy.
 constexpr Nanos healthyCooldown = millis(400);
-// Asks that got no answer are made again after this.
+// Interval after which unanswered requests are repeated.
 constexpr Nanos retryInterval = millis(250);
-// A call to the platform without an answer is reset after this, so that it arrives by then or never.
+// An unanswered platform call is reset after this, so it can't arrive any later.
 constexpr int promotionCallTimeout_ms = 1200;
-// "Some hundred ms" after the platform has taken a promotion the store leads, and says so; at most this.
+// Upper bound of the platform's "some hundred ms" from accepting a promotion until the store is primary and
+// reports it.
 constexpr Nanos maxPromotionTime = millis(1000);
-// A promotion that has not shown by then is begun anew, under a higher fence.
+// A promotion that is not visible after this is started again with a higher fencing token.
 constexpr Nanos promotionVisibleTimeout = millis(2500);
-// A lead that asks for its term, and one under suspicion, are given up after this.
+// Limit of the founding and checking phases.
 constexpr Nanos statusTimeout = millis(2000);
-// A change of the register ends sooner, with or without a majority.
+// Limit of the guarding phase; a register write ends sooner, with or without a majority.
 constexpr Nanos registerWriteTimeout = millis(3000);
-// Replicas that were heard as paused are paused again after this, as one may have been started anew.
+// Collected positions expire after this and replicas are paused again, since one may have restarted, which
+// ends its pause.
 constexpr Nanos verificationLifetime = millis(1000);
-// A planned target that doesn't get what the others have by then is given up, so that those receive again.
+// A planned failover whose target doesn't catch up within this is cancelled, so that the paused replicas
+// receive again.
 constexpr Nanos catchUpTimeout = millis(3000);
-// A replica that doesn't answer its RESUME has most likely crashed, and is asked ever less often.
+// A replica that doesn't answer RESUME has most likely crashed; retries back off up to this interval.
 constexpr Nanos maxResumeInterval = millis(4000);
-// The platform called the promotion a conflict: the registers and the stores' beats show why by then.
+// After a promotion conflict: by then the register and the stores' heartbeats show its cause.
 constexpr Nanos conflictCooldown = millis(300);
 constexpr Nanos cancelCooldown = millis(1000);
-// A promoted store's beat comes at once; its first STATUS waits this much for it.
+// A promoted store sends a heartbeat at once; the first STATUS waits this long for it.
 constexpr Nanos heartbeatDelay = millis(50);
 }  // namespace
 
@@ -76,11 +80,12 @@
 
 Nanos Failover::promotionDelay() const {
     Nanos wait = maxLease_;
-    // A promotion that was taken already must show before another store is chosen.
+    // A promotion that the platform has already accepted must become visible before another store is chosen;
+    // otherwise two stores could be promoted.
     const Nanos visibilityDelay = promotionMayBePending_ ? maxPromotionTime : 0;
     wait = std::max(wait, visibilityDelay + maxClockDrift);
     if (!hadPredecessor_) return wait;
-    // What the predecessor called rested on a confirmation begun before this owner's write stood.
+    // The predecessor's calls depend on a confirmation that started before this owner's write was chosen.
     const bool mustHaveArrived =
         promotionMayBePending_ || !platform_.checksFencingToken || platform_.holderLease > 0;
     const Nanos arrivalDelay = mustHaveArrived ? millis(promotionCallTimeout_ms) : 0;
@@ -98,8 +103,8 @@
 }
 
 const Json* Failover::storeRecord(const std::string& store) const {
-    const board::Record* found = host_.board().find("store/" + store);
-    return found && found->body.is_object() ? &found->body : nullptr;
+    const board::Record* record = host_.board().find("store/" + store);
+    return record && record->body.is_object() ? &record->body : nullptr;
 }
 
 bool Failover::isAccepting(const std::string& store) const {
@@ -109,8 +114,9 @@
 
 std::vector<std::string> Failover::listedStores() const {
     std::vector<std::string> result;
-    host_.board().under("store/", [&](const std::string& name, const board::Record& r) {
-        if (r.body.is_object() && r.body.value("service", "") == service_) result.push_back(name.substr(6));
+    host_.board().under("store/", [&](const std::string& name, const board::Record& other) {
+        if (other.body.is_object() && other.body.value("service", "") == service_)
+            result.push_back(name.substr(6));
     });
     return result;
 }
@@ -127,7 +133,8 @@
     phaseSince_ = now;
 }
 
-// STATUS changes nothing and may leave whenever; PAUSE and RESUME only while what they rest on is confirmed.
+// STATUS changes nothing and may be sent at any time. PAUSE and RESUME are sent only while the confirmation
+// is valid; otherwise a superseded owner could pause or resume replicas that a later owner has counted.
 void Failover::sendStatement(const std::string& store, Statement statement, const std::string& text,
                              Nanos now) {
     const Json* body = storeRecord(store);
@@ -141,7 +148,7 @@
         ToStore{requestId, store, service_, body->value("address", ""), text, timeout_ms, notAfter});
 }
 
-// What was asked and confirmed before is void from here on.
+// Invalidates all requests and confirmations of the previous attempt.
 void Failover::beginAttempt() {
     ++attempt_;
     requests_.clear();
@@ -149,7 +156,7 @@
     confirmationPending_ = false;
 }
 
-// Ends whatever is under way and changes nothing outside.
+// Stops the current attempt without any external effect.
 void Failover::abandon(const std::string& why, Nanos now) {
     if (phase_ != Phase::idle) log(why);
     beginAttempt();
@@ -160,16 +167,17 @@
 void Failover::requestConfirmation(const PrimaryRecord& primary, Nanos now) {
     if (confirmationPending_) return;
     confirmationPending_ = true;
-    const auto ended = [this, startedAt = now, attempt = attempt_](Confirmation confirmation, Nanos at) {
-        if (attempt == attempt_) confirmationEnded(confirmation, startedAt, at);
+    const auto ended = [this, startedAt = now, attempt = attempt_](Confirmation confirmation, Nanos endedAt) {
+        if (attempt == attempt_) confirmationEnded(confirmation, startedAt, endedAt);
     };
     host_.confirmPrimary(service_, primary, ended);
 }
 
 void Failover::confirmationEnded(Confirmation confirmation, Nanos startedAt, Nanos now) {
     confirmationPending_ = false;
-    if (confirmation == Confirmation::replaced) return abandon("replaced by another owner's change", now);
-    if (confirmation == Confirmation::unknown || !isOwner_) return;  // tick() asks again, where it still owns
+    if (confirmation == Confirmation::replaced)
+        return abandon("abandoned: another owner changed the record", now);
+    if (confirmation == Confirmation::unknown || !isOwner_) return;  // tick() retries while it is owner
     confirmationStartedAt_ = startedAt;
     if (!confirmationValid(now)) return;
     if (phase_ == Phase::pausing) pauseReplicas(now);
@@ -177,11 +185,11 @@
     if (phase_ == Phase::idle) sendResumes(now);
 }
 
-// What another began and did not end is taken over by tick().
+// A failover that another owner left unfinished is taken over by tick().
 void Failover::setOwner(bool isOwner, Nanos now) {
     if (isOwner == isOwner_) return;
     isOwner_ = isOwner;
-    if (!isOwner) abandon("left to another member", now);
+    if (!isOwner) abandon("ownership moved to another member", now);
 }
 
 void Failover::primarySuspected(const std::string& store, Nanos now) {
@@ -217,14 +225,14 @@
     }
 }
 
-// Idle: from the start or the end of a succession until one is due.
+// Idle: no failover is in progress.
 void Failover::tickIdle(Nanos now) {
     const auto primary = currentPrimary();
     if (!primary) {
         if (now - lastQueryAt_ >= retryInterval) discoverPrimary(now);
         return;
     }
-    if (!primary->settled) {  // begun by a member that is gone, or by this one in an earlier life or attempt
+    if (!primary->settled) {  // left by a previous owner, or by an earlier incarnation or attempt of this one
         log("taking over what " + primary->owner + " began");
         return beginFailover(now, false);
     }
@@ -235,10 +243,10 @@
     updateReplicas(*primary, now);
 }
 
-// An owner that died behind its last write may have left replicas paused, also some that were not on record
-// then. Each is resumed once by each life that owns the lead of a fence.
+// An owner that failed after its last register write may have left replicas paused, even some that were not
+// on record at the time. Each incarnation of an owner resumes every replica once per fencing token.
 void Failover::resumePausedReplicas(const PrimaryRecord& primary, Nanos now) {
-    if (primary.fencingToken == 0) return;  // nobody was ever paused
+    if (primary.fencingToken == 0) return;  // no replica was ever paused
     if (primary.fencingToken != resumedFencingToken_) resumed_.clear();
     resumedFencingToken_ = primary.fencingToken;
     for (const std::string& store : primary.replicas)
@@ -249,7 +257,7 @@
     requestConfirmation(primary, now);
 }
 
-// Founding: no lead is on record. From the question to the store that says it leads until its answer.
+// Founding: no primary is on record. Asks the first store that reports the primary role for its status.
 void Failover::discoverPrimary(Nanos now) {
     for (const std::string& store : listedStores()) {
         const Json* body = storeRecord(store);
@@ -281,7 +289,7 @@
     });
 }
 
-// Checking: from a front's complaint until the lead's answer. Another store may lead by then.
+// Checking: ends with the suspected primary's answer. Another store may be primary by now.
 void Failover::handleCheckStatus(const Request& request, const std::optional<StoreStatus>& status,
                                  Nanos now) {
     enterPhase(Phase::idle, now);
@@ -291,9 +299,10 @@
     cooldownUntil_ = now + healthyCooldown;
 }
 
-// Guarding: from the beginning of a succession until a majority holds that the lead may change. From a lease
-// later on no front reads from the old lead without proof. The fence grows each time, so that what an earlier
-// owner, life or attempt still sends is of a lower one.
+// Guarding: writes the record as unsettled, with a new fencing token, to a majority. Once a full lease has
+// passed after that write, no proxy reads from the old primary without proof. The token grows with every
+// attempt, so that promotion calls still in flight from an earlier owner, incarnation or attempt carry a
+// lower one.
 void Failover::beginFailover(Nanos now, bool planned) {
     const auto primary = currentPrimary();
     if (!primary) return;
@@ -320,9 +329,9 @@
         primary_ = *written;
         ownFencingToken_ = primary_.fencingToken;
         confirmationStartedAt_ = startedAt;
-        log(planned_ ? "to pass on from " + primary_.store + " which winds down"
+        log(planned_ ? "planned failover from " + primary_.store + ", which is shutting down"
                      : "lost, was " + primary_.store + "; fence " + std::to_string(primary_.fencingToken));
-        registerWrittenAt_ = 0;  // set by the first tick behind
+        registerWrittenAt_ = 0;  // set by the next tick
         phase_ = Phase::pausing;
         lastQueryAt_ = 0;
         pauseTerm_ = primary_.term;
@@ -332,8 +341,8 @@
     host_.compareAndSet(service_, primary->sequence, next, ended);
 }
 
-// Pausing: from the register's write until enough replicas were heard to stand still, asked for after the
-// wait, or until the old primary turns out to be well, or another to lead already.
+// Pausing: after promotionDelay(), replicas are paused until enough of them are verified. Ends early if the
+// old primary turns out to be healthy or another store is already primary.
 void Failover::tickPausing(Nanos now) {
     if (registerWrittenAt_ == 0) registerWrittenAt_ = phaseSince_ = now;
     if (planned_ && target_.empty() && !chooseTarget()) return cancelFailover(now);
@@ -345,7 +354,8 @@
     tryPromote(now);
 }
 
-// Planned: the first that accepts work. It goes on receiving until the others have nothing that it lacks.
+// Planned failover: the first replica, by name, that accepts work. It keeps receiving until it has everything
+// that the others have.
 bool Failover::chooseTarget() {
     for (const std::string& store : knownReplicas())
         if (isAccepting(store) && (target_.empty() || store < target_)) target_ = store;
@@ -356,7 +366,7 @@
     lastQueryAt_ = now;
     if (!planned_) sendStatement(primary_.store, Statement::status, "STATUS", now);
     if (verificationStartedAt_ == 0) {
-        // One that was promoted by an owner that did not live to say so ends the wait.
+        // A store that was promoted by an owner that failed before recording it ends the wait.
         if (promotionMayBePending_)
             for (const std::string& store : knownReplicas())
                 sendStatement(store, Statement::status, "STATUS", now);
@@ -366,15 +376,15 @@
     requestConfirmation(primary_, now);
 }
 
-// Each PAUSE has a term of its own, above all before: it is never said twice, and its row shows that the
-// replica stands still since.
+// Each PAUSE carries a new term above all earlier ones. A PAUSE is therefore never repeated, and its response
+// proves that the replica has received nothing since.
 void Failover::pauseReplicas(Nanos now) {
     lastQueryAt_ = now;
     ++pauseTerm_;
     if (planned_ && !primaryPosition_) sendStatement(primary_.store, Statement::status, "STATUS", now);
     for (const std::string& store : knownReplicas()) {
-        if (planned_ &&
-            store == target_)  // shows its row like STATUS, should an earlier owner have paused it
+        // RESUME returns the target's status as STATUS does, and ends a pause by an earlier owner.
+        if (planned_ && store == target_)
             sendStatement(store, Statement::resume, "RESUME", now);
         else if (!pausedReplicas_.count(store))
             sendPause(store, now);
@@ -389,18 +399,20 @@
 void Failover::handleStatusWhilePausing(const Request& request, const std::optional<StoreStatus>& status,
                                         Nanos now) {
     if (!status) {
-        // Perhaps a later term was said to it before, or it leads by now: it is asked for the term it holds.
+        // It may hold a later term, or be primary by now: its status shows the term.
         if (request.statement == Statement::pause)
             sendStatement(request.store, Statement::status, "STATUS", now);
         return;
     }
     if (request.store == primary_.store) return handleOldPrimaryStatus(request, *status, now);
-    if (status->primary && status->term > primary_.term)  // promoted by an owner that did not live to say so
+    // Promoted by an owner that failed before recording it.
+    if (status->primary && status->term > primary_.term)
         return completePromotion(request.store, status->term, now);
     if (status->primary && status->term == primary_.term) return adoptRenamedPrimary(request, now);
     const bool target = planned_ && request.store == target_;
     if (request.statement != Statement::pause && !target) {
-        // It still receives, or was paused by another: what it says of its position does not last.
+        // It still receives, or was paused by another owner who may resume it: its position may change and
+        // must not be counted.
         pauseTerm_ = std::max(pauseTerm_, status->fencedTerm) + 1;
         if (verificationStartedAt_ != 0 && confirmationValid(now) && !pausedReplicas_.count(request.store))
             sendPause(request.store, now);
@@ -411,8 +423,8 @@
     tryPromote(now);
 }
 
-// It lives and leads on, if no promotion can be under way: one that an earlier owner or attempt asked for has
-// shown when the wait is over.
+// The old primary answers. It stays primary only if no promotion can be under way: one requested by an
+// earlier owner or attempt is visible once promotionDelay() has passed.
 void Failover::handleOldPrimaryStatus(const Request& request, const StoreStatus& status, Nanos now) {
     if (!status.primary || status.term != primary_.term) return;
     if (planned_) {
@@ -424,15 +436,16 @@
     cancelFailover(now);
 }
 
-// Whether no promotion can have been under way when a store that shows the lead's term was asked.
+// Whether no promotion can have been under way when the status request was sent.
 bool Failover::noPromotionPending(const Request& request) const {
     return !promotionMayBePending_ || request.sentAt >= registerWrittenAt_ + promotionDelay();
 }
 
-// Only one store leads in a term: the lead crashed, nothing was promoted, and it is back with its log.
+// A term has only one primary: the recorded one crashed, nothing was promoted, and it is back with its log
+// under another name.
 void Failover::adoptRenamedPrimary(const Request& request, Nanos now) {
     if (!noPromotionPending(request)) return;
-    log(primary_.store + " is back as " + request.store + " and leads on");
+    log(primary_.store + " is back as " + request.store + " and remains primary");
     PrimaryRecord next = primary_;
     next.store = request.store;
     std::erase_if(next.replicas, [&](const std::string& store) { return isPrimaryOrAlias(store, next); });
@@ -441,8 +454,8 @@
     writeSettled(std::move(next), now);
 }
 
-// Replicas are paused only behind the wait: what an earlier owner said to them is over by now, so only a
-// restart can set them going again.
+// Runs only after promotionDelay(): statements of an earlier owner can't arrive any more by then, so only a
+// restart can end a pause.
 void Failover::restartVerification(Nanos now) {
     verificationStartedAt_ = now;
     requests_.clear();
@@ -451,7 +464,8 @@
     queryStores(now);
 }
 
-// Whether a replica answered, or the store that its log passed to when it left or crashed: at its address.
+// Whether the replica's log position is known: it answered itself, or the store now at its address did, which
+// took over its log when it left or crashed.
 bool Failover::isVerified(const std::string& store) const {
     if (statuses_.count(store)) return true;
     const std::string address = addressOf(store, primary_);
@@ -460,9 +474,10 @@
                        [&](const auto& each) { return addressOf(each.first, primary_) == address; });
 }
 
-// An acknowledged commit is on as many replicas as are synchronous: of any others one may be missing. Where
-// the lead itself said how far it was, all that clients were told of under a lease is at or below that; what
-// they were told of since, all replicas have that a proxy knew of.
+// Invariant: every acknowledged write is on some verified replica; promoting without it would lose the write.
+// An acknowledged write is on at least as many replicas as are synchronous, so one fewer than these may be
+// missing. If the primary itself reported its position, every write acknowledged under a lease is at or below
+// it; writes acknowledged since are on every replica that a proxy knew of, hence on any established one.
 bool Failover::enoughReplicasVerified() const {
     if (primaryPosition_ && establishedReplicaVerified()) return true;
     std::vector<std::string> required = knownReplicas();
@@ -481,15 +496,15 @@
     });
 }
 
-// For the log: who was not heard, and how far the others are.
+// For the log: which replicas are not verified, and the positions of the others.
 std::string Failover::describeMissing() const {
     std::string result;
     for (const std::string& store : knownReplicas()) {
         const auto status = statuses_.find(store);
         const std::string state = status != statuses_.end()
                                       ? "is at " + granitereel::toString(status->second.receivedPosition)
-                                  : isVerified(store) ? "is gone, its log was heard"
-                                                      : "was not heard";
+                                  : isVerified(store) ? "has left, its log position is known"
+                                                      : "did not answer";
         if (!result.empty()) result.append(", ");
         result.append(store).append(" ").append(state);
     }
@@ -511,8 +526,9 @@
     return best;
 }
 
-// Promotes where all that must be heard were heard, no front can still believe in the old lead, and no
-// earlier owner's call can still arrive where that matters.
+// Starts the promotion once promotionDelay() has passed and enough replicas are verified. By then no proxy's
+// lease on the old primary is still valid, and no call of an earlier owner can still arrive where that
+// matters: promoting sooner could leave two primaries serving or lose acknowledged writes.
 void Failover::tryPromote(Nanos now) {
     if (registerWrittenAt_ == 0 || now - registerWrittenAt_ < promotionDelay()) return;
     if (verificationStartedAt_ == 0 || now - verificationStartedAt_ > verificationLifetime)
@@ -524,7 +540,7 @@
         if (target == statuses_.end()) return;
         const LogPosition mostReceived =
             std::max(primaryPosition_.value_or(LogPosition()), statuses_.at(best).receivedPosition);
-        if (target->second.receivedPosition < mostReceived) return;  // asked again until it has it all
+        if (target->second.receivedPosition < mostReceived) return;  // asked again until it has caught up
         best = target_;
     }
     target_ = best;
@@ -533,21 +549,22 @@
     sendPromotion(now);
 }
 
-// Promoting: from the choice of the target until the platform has taken its promotion. Within an attempt
-// only this target is asked for; another one needs a new attempt and so a new fence.
+// Promoting: until the platform accepts the promotion. Invariant: one attempt, and so one fencing token,
+// promotes only one target; otherwise the platform could promote two stores with the same token.
 void Failover::tickPromoting(Nanos now) {
     if (promotionRequest_ != 0) return;
     if (now - verificationStartedAt_ <= verificationLifetime) {
         if (now - promotionEndedAt_ >= retryInterval) sendPromotion(now);
         return;
     }
-    // What was heard has aged: a replica may have been started since.
+    // The verification has expired: a replica may have restarted since.
     if (promotionSent_) return beginFailover(now, planned_);
     enterPhase(Phase::pausing, now);
     restartVerification(now);
 }
 
-// The call leaves only while the confirmation that it rests on is fresh, and never beside another of ours.
+// The call is sent only while the confirmation and the verification are valid, and with no other call in
+// progress.
 void Failover::sendPromotion(Nanos now) {
     if (promotionRequest_ != 0) return;
     if (now - verificationStartedAt_ > verificationLifetime) return;
@@ -569,14 +586,15 @@
     if (phase_ != Phase::promoting || promotionAttempt_ != attempt_) return;  // of an earlier attempt
     if (outcome == PromotionOutcome::accepted) return enterPhase(Phase::rising, now);
     if (outcome == PromotionOutcome::notSent) return;
-    if (outcome == PromotionOutcome::conflict) {  // a newer owner, or it does not run: begin again, above
+    if (outcome == PromotionOutcome::conflict) {
+        // A newer owner exists, or the store is not running: a retry needs a new token.
         cooldownUntil_ = now + conflictCooldown;
-        return abandon("promotion of " + target_ + " was a conflict", now);
+        return abandon("promotion of " + target_ + " rejected as a conflict", now);
     }
     log("promotion of " + target_ + (outcome == PromotionOutcome::unanswered ? " not answered" : " refused"));
 }
 
-// Rising: from the platform's answer until the target's beat says that it leads, or a while has passed.
+// Rising: until the target's heartbeat reports the primary role, or promotionVisibleTimeout has passed.
 void Failover::tickRising(Nanos now) {
     const Json* body = storeRecord(target_);
     const bool visible =
@@ -587,7 +605,7 @@
     sendStatement(target_, Statement::status, "STATUS", now);
 }
 
-// Settling: until the target itself answers that it leads, and in which term.
+// Settling: until the target itself confirms that it is primary, and in which term.
 void Failover::tickSettling(Nanos now) {
     if (now - phaseSince_ > promotionVisibleTimeout) return beginFailover(now, planned_);
     if (now - lastQueryAt_ < retryInterval) return;
@@ -630,7 +648,8 @@
     next.replicas.insert(primary_.store);
     next.replicas.erase(store);
     next.addresses = addressesOf(next.replicas, primary_);
-    // A promotion in between may have cut its log back.
+    // Known only if this attempt promoted it directly into the next term: a promotion in between may have
+    // truncated its log.
     const bool ours = promotionSent_ && store == target_ && term == primary_.term + 1;
     next.retained = ours ? std::optional(targetPosition_) : std::nullopt;
     next.store = store;
@@ -639,13 +658,14 @@
     writeSettled(std::move(next), now);
 }
 
-// Nothing was promoted: replicas go on, and the lead is as it was.
+// Nothing was promoted: the primary stays, and the replicas resume.
 void Failover::cancelFailover(Nanos now) {
     cooldownUntil_ = now + cancelCooldown;
     writeSettled(primary_, now);
 }
 
-// Replicas are resumed only once it stands that the lead is steady: a later owner may have paused them.
+// Replicas are resumed only after the settled record is chosen. Before that, a later owner may have paused
+// them and counted their positions.
 void Failover::writeSettled(PrimaryRecord next, Nanos now) {
     beginAttempt();
     next.settled = true;
@@ -656,7 +676,7 @@
         writePending_ = false;
         if (!written || attempt != attempt_) return;
         log("is " + written->store + " in term " + std::to_string(written->term));
-        // All of them: an earlier owner may have been cut off before it had resumed what it paused.
+        // All replicas: an earlier owner may have lost contact before it resumed those that it had paused.
         for (const std::string& store : knownReplicas()) awaitingResume_.insert(store);
         awaitingResume_.insert(primary_.store);
         std::erase_if(awaitingResume_,
@@ -664,7 +684,8 @@
         resumedFencingToken_ = written->fencingToken;
         resumed_.clear();
         resumeInterval_ = retryInterval;
-        // A PAUSE of an earlier owner, or one of ours, may still arrive until then.
+        // A PAUSE of an earlier owner, or of this one, may arrive until then; a RESUME sent earlier doesn't
+        // count.
         pausesMayArriveUntil_ = std::max(registerWrittenAt_ + maxLease_, pausesExpireAt_);
         lastResumeAt_ = startedAt;
         confirmationStartedAt_ = startedAt;
@@ -673,7 +694,7 @@
     host_.compareAndSet(service_, primary_.sequence, next, ended);
 }
 
-// RESUME changes nothing where a replica receives, so it is said again until it was answered.
+// RESUME has no effect on a replica that is not paused, so it is repeated until it is answered.
 void Failover::sendResumes(Nanos now) {
     std::erase_if(awaitingResume_, [&](const std::string& store) { return !storeRecord(store); });
     for (const std::string& store : awaitingResume_) sendStatement(store, Statement::resume, "RESUME", now);
--- a/src/control/failover.hpp
+++ b/src/control/failover.hpp
@@ -1,7 +1,7 @@
-// Who leads a service, and how the lead passes on: planned, from a primary that winds down, or after a
-// primary's death. One member of the core owns this duty for a service at a time; the register of the lead
-// carries the fencing token. Free of I/O, clocks and chance. docs/control-safety/promotion.md has the
-// argument for why nothing acknowledged is lost and why a late or frozen owner changes nothing.
+// Failover of one service's primary: planned, when the primary shuts down, or unplanned, after it has failed.
+// At any time one voting member owns the failover of a service; the register that holds the primary record
+// carries the fencing token. Deterministic: no I/O, clocks or randomness. docs/control-safety/promotion.md
+// has the argument for why no acknowledged write is lost and why a late or stalled owner changes nothing.
 #pragma once
 
 #include <functional>
@@ -21,74 +21,85 @@
 
 namespace granitereel::control {
 
-// Over the spans that promotion measures, the steady clocks of two machines differ by less than this.
+// Bound on how far the steady clocks of two machines drift apart over the intervals that failover measures.
 constexpr Nanos maxClockDrift = millis(50);
 
-// What the platform promises of its promotions, from the settings' guarantees.
+// What the platform guarantees for promotion calls; from the `guarantees` section of the settings.
 struct PlatformGuarantees {
-    bool checksFencingToken = false;  // it refuses a fence lower than one it has seen
-    Nanos holderLease = 0;            // holders must not take turns within this; 0: nothing said
+    bool checksFencingToken = false;  // it rejects fencing tokens below the highest it has seen
+    Nanos holderLease = 0;            // two owners' calls must be this far apart; 0: not specified
 };
 
-// How a call of POST /promotions ended.
+// Result of a POST /promotions call.
 enum class PromotionOutcome {
-    accepted,     // the store leads soon, or leads already
-    conflict,     // the fence is too low, or the store is not running
-    unavailable,  // the platform refused for now: too many calls, or a fault of its own
-    unanswered,   // no whole answer in time: it may have been carried out
-    notSent,      // its deadline had passed before it could leave
+    accepted,     // the store becomes primary shortly, or is primary already
+    conflict,     // the fencing token is too low, or the store is not running
+    unavailable,  // temporary refusal: rate limit or an internal error of the platform
+    unanswered,   // no complete response in time: it may have taken effect
+    notSent,      // its deadline passed before the request could be sent
 };
-// The status of the HTTP answer; `transport::noAnswer` and `transport::notSent` where there was none.
+// `status`: of the HTTP response, or `transport::noAnswer` or `transport::notSent` if there was none.
 PromotionOutcome promotionOutcomeOf(int status);
 
-// What a majority read of the lead's register showed.
+// Result of a majority read of the primary's register.
 enum class Confirmation {
-    current,   // the lead is as expected, and this member holds its lease
-    replaced,  // another value stands
+    current,   // the record is as expected, and this member holds its lease
+    replaced,  // the register holds another value
     unknown,   // no majority in time, or no lease
 };
 
 class Failover {
 public:
-    // What it needs of the member: the lead's register and the numbers of asks.
+    // Interface to the owning member: the primary's register, request ids and the shared records.
     struct Host {
         virtual ~Host() = default;
         virtual Outputs& outputs() = 0;
         virtual std::uint64_t nextRequestId(Failover& asker) = 0;
-        // Compare-and-set on `seq`. `done` gets the new value only if this very call wrote it.
-        virtual void compareAndSet(const std::string& service, std::uint64_t ifSeq, PrimaryRecord to,
+        // Compare-and-set on the record's sequence number. `done` gets the new value only if this very call
+        // wrote it.
+        virtual void compareAndSet(const std::string& service, std::uint64_t expectedSequence,
+                                   PrimaryRecord next,
                                    std::function<void(std::optional<PrimaryRecord>)> done) = 0;
-        // A majority read begun now; `done` is also told the time.
+        // A majority read started now; `done` also receives the time at which it completed.
         virtual void confirmPrimary(const std::string& service, const PrimaryRecord& expected,
                                     std::function<void(Confirmation, Nanos now)> done) = 0;
         virtual const board::Board& board() const = 0;
         virtual int syncReplicas(const std::string& service) const = 0;
     };
 
-    // `lease`: how long a front may believe what it was told of the lead without asking again, with the drift
-    // of clocks.
+    // `lease`: how long a proxy may use a primary record without renewing its lease, including clock drift.
     Failover(std::string self, std::string service, Nanos lease, Host& host,
              PlatformGuarantees platform = {});
 
-    // Whether this member is the one that ought to act now.
+    // Whether this member is responsible for the service's failover now.
     void setOwner(bool isOwner, Nanos now);
     void tick(Nanos now);
-    // A front can't reach the store, or hears nothing from it.
+    // A proxy reports that it can't connect to the store or receives no response from it.
     void primarySuspected(const std::string& store, Nanos now);
     void statementAnswered(std::uint64_t requestId, std::optional<StoreStatus> status, Nanos now);
     void promotionAnswered(std::uint64_t requestId, PromotionOutcome outcome, Nanos now);
-    // For the page of states.
+    // The phase's name as shown by GET /state.
     const char* phase() const;
 
-    // How long after the start of a confirmation a call that rests on it may leave. A statement that leaves
-    // then is over before a later owner, who waits `lease` from its own write on, counts any replica as
-    // paused.
+    // How long after the start of a confirmation a call that depends on it may still be sent. Invariant: such
+    // a statement has ended before a later owner, who waits for `lease` after its own register write, counts
+    // any replica as paused. Otherwise a late RESUME could restart a replica whose log position was already
+    // counted.
     Nanos confirmationLifetime() const;
-    // How long after its own write this owner waits before it calls the platform.
+    // How long this owner waits after its own register write before it calls the platform.
     Nanos promotionDelay() const;
 
 private:
-    enum class Phase { idle, founding, checking, guarding, pausing, promoting, rising, settling };
+    enum class Phase {
+        idle,
+        founding,   // no primary on record: asking a store that reports the role
+        checking,   // asking a suspected primary for its status
+        guarding,   // writing the new fencing token to the register
+        pausing,    // pausing replicas and collecting their log positions
+        promoting,  // calling the platform
+        rising,     // waiting for the promoted store's heartbeat
+        settling    // asking the promoted store for its status
+    };
     enum class Statement { status, pause, resume };
     struct Request {
         std::string store;
@@ -96,13 +107,13 @@
         Nanos sentAt = 0;
     };
     std::optional<PrimaryRecord> currentPrimary() const;
-    std::vector<std::string> listedStores() const;   // stores of the service that may still be there
-    std::vector<std::string> knownReplicas() const;  // replicas on record and listed ones
+    std::vector<std::string> listedStores() const;   // the service's stores with a live record
+    std::vector<std::string> knownReplicas() const;  // of the primary record, and listed stores
     const Json* storeRecord(const std::string& store) const;
     bool isAccepting(const std::string& store) const;
-    // By its record, else by the lead's; empty: not known.
+    // From the store's own record, else from the primary record; empty: unknown.
     std::string addressOf(const std::string& store, const PrimaryRecord& primary) const;
-    // Whether it is the lead, or another name at the lead's address.
+    // Whether the store is the primary, or another name at the primary's address.
     bool isPrimaryOrAlias(const std::string& store, const PrimaryRecord& primary) const;
     void enterPhase(Phase phase, Nanos now);
     void sendStatement(const std::string& store, Statement statement, const std::string& text, Nanos now);
@@ -122,7 +133,7 @@
     void updateReplicas(const PrimaryRecord& primary, Nanos now);
     void writeReplicas(const PrimaryRecord& primary, std::set<std::string> replicas, RecentReplicas recent);
     std::map<std::string, std::string> addressesOf(const std::set<std::string>& stores,
-                                                   const PrimaryRecord& before) const;
+                                                   const PrimaryRecord& previous) const;
     bool hasLeft(const std::string& store) const;
     void beginReplicaRelease(const PrimaryRecord& primary, Nanos now);
     void handleReleaseStatus(const Request& request, const StoreStatus& status, Nanos now);
@@ -169,33 +180,34 @@
     bool isOwner_ = false, planned_ = false, writePending_ = false;
     PrimaryRecord primary_;
 
-    // Grows with each beginning anew: what was asked in an earlier attempt is answered in vain.
+    // Incremented for each new attempt: responses to requests of earlier attempts are ignored.
     std::uint64_t attempt_ = 0;
     std::map<std::uint64_t, Request> requests_;
     bool confirmationPending_ = false;
-    std::optional<Nanos> confirmationStartedAt_;  // when the last confirmation of `lead_` began
-    std::uint64_t ownFencingToken_ = 0;           // the last one that this life wrote
-    bool hadPredecessor_ = false;         // someone else may have called the platform under the fence before
-    bool promotionMayBePending_ = false;  // the lead was unsteady already: a promotion may be under way
+    std::optional<Nanos> confirmationStartedAt_;  // start of the last confirmation of `primary_`
+    std::uint64_t ownFencingToken_ = 0;           // the last one that this incarnation wrote
+    bool hadPredecessor_ = false;         // another owner may have called the platform with the token before
+    bool promotionMayBePending_ = false;  // the record was unsettled: a promotion may be under way
 
     std::uint64_t pauseTerm_ = 0;
     std::string target_;
-    Nanos verificationStartedAt_ = 0;  // 0: the wait is not over
+    Nanos verificationStartedAt_ = 0;  // 0: promotionDelay() has not passed yet
     std::map<std::string, StoreStatus> statuses_;
-    std::optional<LogPosition> primaryPosition_;  // planned: of the lead's row, asked for behind the wait
-    std::set<std::string> pausedReplicas_;        // answered a PAUSE of this verification
-    Nanos pausesExpireAt_ = 0;                    // by then every PAUSE of ours has arrived, or never will
+    std::optional<LogPosition> primaryPosition_;  // planned: of the primary, read after promotionDelay()
+    std::set<std::string> pausedReplicas_;        // acknowledged a PAUSE of this verification
+    Nanos pausesExpireAt_ = 0;                    // no PAUSE of this owner can arrive after this
 
-    std::uint64_t promotionRequest_ = 0,
-                  promotionAttempt_ = 0;  // the call to the platform under way; 0: none
+    // The platform call in progress, 0: none, and the attempt that it belongs to.
+    std::uint64_t promotionRequest_ = 0, promotionAttempt_ = 0;
     Nanos promotionEndedAt_ = 0;
     bool promotionSent_ = false;  // in this attempt
-    LogPosition targetPosition_;  // of the target's row that the call rested on
+    LogPosition targetPosition_;  // of the target when the promotion call was sent
 
     ReplicaAges replicaAges_;
     Nanos agesUpdatedAt_ = 0;
-    Nanos departureSeenAt_ = 0;  // since when a replica on record is known to have left; 0: none has
-    std::set<std::string> awaitingResume_, resumed_;  // resumed_: under resumedFence_, by this life
+    Nanos departureSeenAt_ = 0;  // when a recorded replica was first found to have left; 0: none
+    // Replicas to be resumed, and those that this incarnation has resumed under resumedFencingToken_.
+    std::set<std::string> awaitingResume_, resumed_;
     std::uint64_t resumedFencingToken_ = 0;
     Nanos lastResumeAt_ = 0, resumeInterval_, pausesMayArriveUntil_ = 0;
 };
--- a/src/control/failover_replicas.cpp
+++ b/src/control/failover_replicas.cpp
@@ -1,5 +1,5 @@
-// Who is on record of a lead: replicas that come, that are young, that leave and are released, and the
-// addresses at which their logs pass on.
+// The replicas in the primary record: which are added, which are recent, which have left and are released,
+// and at which addresses their logs are handed over to other stores.
 #include <algorithm>
 
 #include "control/failover.hpp"
@@ -7,13 +7,14 @@
 namespace granitereel::control {
 
 namespace {
-// A store that has left ends within this: it waits no longer for its call's answer.
+// A store that deregistered terminates within this, since it waits no longer for the response.
 constexpr Nanos shutdownTime = millis(1000);
-// How often it is looked whether those that stay have what one that left had.
+// How often it is checked whether the remaining replicas have everything that a departed one had.
 constexpr Nanos releaseCheckInterval = millis(500);
-// How often it is looked which replicas are young.
+// How often the ages of recent replicas are updated.
 constexpr Nanos ageUpdateInterval = millis(1000);
-// Of this many released replicas it is kept where their logs pass on; beyond, their heirs are young.
+// Bound on the addresses kept of released replicas. Beyond it, stores that take over their logs count as
+// recent.
 constexpr std::size_t maxVacatedAddresses = 16;
 }  // namespace
 
@@ -23,8 +24,8 @@
     return recorded != primary.addresses.end() ? recorded->second : "";
 }
 
-// A store that crashed may be back at its address, with its log, under another name, and its record under the
-// former one stands. Of two names at the lead's address either may be the present one; both mean the lead's
+// A store that crashed may be back at its address, with its log, under another name while its former record
+// still exists. Of two names at the primary's address either may be the current one; both mean the primary's
 // own log.
 bool Failover::isPrimaryOrAlias(const std::string& store, const PrimaryRecord& primary) const {
     if (store == primary.store) return true;
@@ -34,10 +35,10 @@
 }
 
 std::map<std::string, std::string> Failover::addressesOf(const std::set<std::string>& stores,
-                                                         const PrimaryRecord& before) const {
+                                                         const PrimaryRecord& previous) const {
     std::map<std::string, std::string> result;
     for (const std::string& store : stores)
-        if (storeRecord(store) || before.addresses.count(store)) result[store] = addressOf(store, before);
+        if (storeRecord(store) || previous.addresses.count(store)) result[store] = addressOf(store, previous);
     return result;
 }
 
@@ -46,9 +47,10 @@
     return entry && entry->body.is_null();
 }
 
-// Who belongs to the service is kept with the lead, as after a loss only that tells who must be heard. One
-// that the registry lacks may only not have called yet; one that left may have the only copy of a commit:
-// both stay, until release().
+// The replica set is kept in the primary record: after a failure, nothing else tells which replicas must be
+// verified. A replica missing from the registry may just not have registered yet, and one that left may have
+// the only copy of a commit. Both stay until handleReleaseStatus() releases them; dropping one earlier could
+// lose an acknowledged write.
 void Failover::updateReplicas(const PrimaryRecord& primary, Nanos now) {
     std::set<std::string> replicas = primary.replicas;
     for (const std::string& store : listedStores()) replicas.insert(store);
@@ -63,7 +65,7 @@
         departureSeenAt_ = 0;
 }
 
-// Whether the log of a replica that is not young has passed on to the store: it is at its address.
+// Whether the store took over the log of an established replica, as it is at that replica's address.
 bool Failover::inheritsEstablishedLog(const std::string& store, const PrimaryRecord& primary) const {
     const std::string address = addressOf(store, primary);
     if (address.empty()) return false;
@@ -73,7 +75,7 @@
     });
 }
 
-// An address that another service's store has taken passes no log of this one on any more.
+// An address now used by a registered store is dropped: a store of another service has no log of this one.
 std::set<std::string> Failover::nextVacatedAddresses(const PrimaryRecord& primary,
                                                      const std::set<std::string>& replicas) const {
     std::set<std::string> vacated = primary.vacatedAddresses;
@@ -81,14 +83,14 @@
         if (!replicas.count(store) && !primary.recentReplicas.count(store))
             vacated.insert(addressOf(store, primary));
     vacated.erase("");
-    host_.board().under("store/", [&](const std::string&, const board::Record& r) {
-        if (r.body.is_object()) vacated.erase(r.body.value("address", ""));
+    host_.board().under("store/", [&](const std::string&, const board::Record& other) {
+        if (other.body.is_object()) vacated.erase(other.body.value("address", ""));
     });
     while (vacated.size() > maxVacatedAddresses) vacated.erase(vacated.begin());
     return vacated;
 }
 
-// Each member counts for how long replicas have been on record, so that the next owner knows it, too.
+// Every member tracks how long replicas have been on record, so that the next owner knows it too.
 void Failover::updateReplicaAges(Nanos now) {
     if (now - agesUpdatedAt_ < ageUpdateInterval) return;
     agesUpdatedAt_ = now;
@@ -97,7 +99,7 @@
     replicaAges_.update(hasRecent ? entry->body["young"].get<RecentReplicas>() : RecentReplicas(), now);
 }
 
-// Of the replicas to be on record next those that are young, with their ages.
+// The recent ones among the replicas of the next record, with their ages.
 RecentReplicas Failover::recentAmong(const std::set<std::string>& replicas, const PrimaryRecord& primary,
                                      Nanos now) const {
     RecentReplicas recent;
@@ -123,8 +125,8 @@
     host_.compareAndSet(service_, primary.sequence, next, [this](auto) { writePending_ = false; });
 }
 
-// A replica that left counts for the synchronous ones until it has ended, and takes its log along. When it
-// has ended, the primary is asked how far it is, then the replicas that stay.
+// A replica that left counts as a synchronous one until its process has ended, and its log goes with it.
+// After that, the primary is asked for its position, then the remaining replicas for theirs.
 void Failover::beginReplicaRelease(const PrimaryRecord& primary, Nanos now) {
     if (departureSeenAt_ == 0) departureSeenAt_ = now;
     if (now - departureSeenAt_ < shutdownTime || now - lastQueryAt_ < releaseCheckInterval) return;
@@ -133,7 +135,8 @@
     sendStatement(primary.store, Statement::status, "STATUS", now);
 }
 
-// What the primary has is on as many of those that stay as are synchronous: those that left are released.
+// Releases departed replicas once as many remaining replicas as are synchronous have everything that the
+// primary had. Releasing them earlier could drop the only copy of an acknowledged write.
 void Failover::handleReleaseStatus(const Request& request, const StoreStatus& status, Nanos now) {
     const auto primary = currentPrimary();
     if (!primary || !primary->settled || writePending_ || request.statement != Statement::status) return;
--- a/src/control/lease.cpp
+++ b/src/control/lease.cpp
@@ -5,7 +5,7 @@
 namespace granitereel::control {
 
 namespace {
-// Rounds that answers are still awaited for; older ones could extend nothing.
+// Rounds whose replies are still counted; older ones could no longer extend the lease.
 constexpr std::size_t maxPendingRounds = 8;
 }  // namespace
 
@@ -44,7 +44,8 @@
 void LeaseRounds::answered(const std::string& voter, const LeaseRoundReply& answer, const Core& core) {
     const auto found = rounds_.find(answer.round);
     if (found == rounds_.end()) return;
-    // Answers of two epochs are no majority of either.
+    // Replies from two epochs do not form a majority of either: two disjoint majorities could both grant
+    // leases.
     if (answer.epoch != core.epoch || found->second.epoch != core.epoch) return;
     countVote(found->second, voter, core);
 }
--- a/src/control/lease.hpp
+++ b/src/control/lease.hpp
@@ -1,6 +1,7 @@
-// The lease of a member: for how long it may tell others which leads stand. It is had from a majority of the
-// voters of one epoch, each of which answers a round's question with the leads that may be about to change.
-// Free of I/O; times are of this member's steady clock.
+// A member's lease: for how long it may vouch for primary records. It is granted by a majority of the voters
+// of one epoch, each of which answers a round with the primaries that may be about to change. Without the
+// majority, a member that is cut off would keep vouching for a replaced primary. No I/O; times are of this
+// member's steady clock.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace granitereel::control {
 
-// Services whose lead may change or has changed, each with the sequence number of that change.
+// Services whose primary may change or has changed, each with the sequence number of that change.
 using UnsettledSequences = std::map<std::string, std::uint64_t>;
 
 struct LeaseRoundRequest {
@@ -27,19 +28,19 @@
     static constexpr const char* kind = "roundok";
     std::uint64_t round = 0, epoch = 0;
     UnsettledSequences unsettled;
-    std::uint64_t configurationRevision = 0;  // the version that the voter holds; 0: none
+    std::uint64_t configurationRevision = 0;  // that the voter holds; 0: none
     Json toJson() const;
     static LeaseRoundReply fromJson(const Json& message);  // throws nlohmann::json::exception
 };
 
 class LeaseRounds {
 public:
-    // How long what was told of leads may be believed, counted from when the question for it was sent.
+    // Lifetime of the lease, counted from when the round's request was sent: a slow reply never extends it.
     static constexpr Nanos leaseDuration = millis(700);
 
-    // Begins a round in this epoch. `ownVote`: the voter that this member is, or empty.
+    // Starts a round in the current epoch. `ownVote`: this member's name if it is a voter, else empty.
     LeaseRoundRequest begin(const Core& core, const std::string& ownVote, Nanos now);
-    // Counts only where round, answer and this member's present epoch are one.
+    // A reply counts only if its epoch, the round's and this member's current one are the same.
     void answered(const std::string& voter, const LeaseRoundReply& answer, const Core& core);
     Nanos expiresAt() const { return expiresAt_; }
 
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -12,8 +12,9 @@
 }
 }  // namespace
 
-void OperatorCalls::put(std::uint64_t call, const Json& configuration, Nanos now, Nanos deadline) {
-    // The last time that the register's value was seen decides: it is the one that was chosen.
+void OperatorCalls::put(std::uint64_t callId, const Json& configuration, Nanos now, Nanos deadline) {
+    // The function may run several times; the last run, on the value that was then chosen, decides the
+    // outcome.
     const auto outcome = std::make_shared<RevisionOutcome>(RevisionOutcome::stale);
     Change change;
     change.name = "config";
@@ -22,29 +23,29 @@
         *outcome = revisions.apply(configuration);
         return revisions.toJson();
     };
-    change.done = [this, call, configuration, outcome](std::optional<Json> chosen) {
-        if (!chosen) return host_.answerOperator(call, Kind::noMajority, {});
+    change.done = [this, callId, configuration, outcome](std::optional<Json> chosen) {
+        if (!chosen) return host_.answerOperator(callId, Kind::noMajority, {});
         host_.configurationChosen(*chosen);
         const std::string revision = configuration.at("edition").dump();
         if (*outcome == RevisionOutcome::conflict) {
-            host_.log("configuration " + revision + " refused: another body was taken under its number");
-            return host_.answerOperator(call, Kind::conflict, conflictBody(configuration).dump());
+            host_.log("configuration " + revision + " rejected: another body was applied under this number");
+            return host_.answerOperator(callId, Kind::conflict, conflictBody(configuration).dump());
         }
         host_.log("configuration " + revision + " acknowledged");
-        host_.answerOperator(call, Kind::taken, "{}");
+        host_.answerOperator(callId, Kind::taken, "{}");
     };
     host_.beginChange(std::move(change), now, deadline);
 }
 
-void OperatorCalls::get(std::uint64_t call, Nanos now, Nanos deadline) {
+void OperatorCalls::get(std::uint64_t callId, Nanos now, Nanos deadline) {
     Change change;
     change.name = "config";
     change.change = [](const Json& current) { return current; };
-    change.done = [this, call](std::optional<Json> chosen) {
-        if (!chosen) return host_.answerOperator(call, Kind::noMajority, {});
-        if (chosen->is_null()) return host_.answerOperator(call, Kind::notFound, {});
+    change.done = [this, callId](std::optional<Json> chosen) {
+        if (!chosen) return host_.answerOperator(callId, Kind::noMajority, {});
+        if (chosen->is_null()) return host_.answerOperator(callId, Kind::notFound, {});
         host_.configurationChosen(*chosen);
-        host_.answerOperator(call, Kind::taken,
+        host_.answerOperator(callId, Kind::taken,
                              ConfigurationRevisions::fromJson(*chosen).configuration().dump());
     };
     host_.beginChange(std::move(change), now, deadline);
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -1,5 +1,5 @@
-// The operator's calls at a member: a configuration is put into and read from the register by a majority.
-// Free of I/O, clocks and chance.
+// Operator calls: writes a configuration to the register and reads it from there, both through a majority.
+// Deterministic: no I/O, clocks or randomness.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 class OperatorCalls {
 public:
-    // What is needed of the member.
+    // Interface to the owning member.
     struct Host {
         virtual ~Host() = default;
         virtual void beginChange(Change change, Nanos now, Nanos deadline) = 0;
-        // The register's value that was seen to stand.
+        // The register's value that was read or written by a majority.
         virtual void configurationChosen(const Json& value) = 0;
-        virtual void answerOperator(std::uint64_t call, Kind kind, std::string body) = 0;
+        virtual void answerOperator(std::uint64_t callId, Kind kind, std::string body) = 0;
         virtual void log(std::string line) = 0;
     };
     explicit OperatorCalls(Host& host) : host_(host) {}
 
-    // PUT /config with a body that was found valid. By `until` it is answered, and the
-    // configuration may stand or not where there was no majority; the same body may be sent again anywhere.
-    void put(std::uint64_t call, const Json& configuration, Nanos now, Nanos deadline);
+    // PUT /config with a validated body. Answered by `deadline`; without a majority the configuration may
+    // have been applied or not, and the same body may be sent again to any member.
+    void put(std::uint64_t callId, const Json& configuration, Nanos now, Nanos deadline);
     // GET /config.
-    void get(std::uint64_t call, Nanos now, Nanos deadline);
+    void get(std::uint64_t callId, Nanos now, Nanos deadline);
 
 private:
     Host& host_;
--- a/src/control/program.cpp
+++ b/src/control/program.cpp
@@ -24,7 +24,7 @@
 namespace asio = boost::asio;
 using transport::Link;
 
-// At the end the disk's thread has so long; well within any grace period that is given in seconds.
+// How long the disk thread may take to stop; well within any grace period, as these are given in seconds.
 constexpr std::chrono::milliseconds diskShutdownTimeout{500};
 
 std::string randomIncarnation() {
@@ -32,8 +32,9 @@
     return std::to_string((std::uint64_t(device()) << 32) | device());
 }
 
-// The disk and what it holds, with the number of this life on it before any ballot bears it. Waits while the
-// disk refuses: to end would change nothing, and a refusal says nothing of what it holds.
+// Opens the disk and reads its records. Invariant: the number of this process incarnation is on disk before
+// any ballot contains it; otherwise two process incarnations could use the same ballot. Waits while the disk
+// rejects operations: a restart would not help, and a rejection doesn't mean that the data is lost.
 std::unique_ptr<Disk> openDisk(const std::string& folder, DiskRecords& records) {
     for (bool logged = false;; logged = true) {
         try {
@@ -82,7 +83,7 @@
         loop_.run();
         spdlog::info("sent: {}", traffic_.line());
         if (!writer_.stop(diskShutdownTimeout)) {
-            spdlog::warn("ends although the disk hangs");
+            spdlog::warn("exiting although the disk thread is blocked");
             spdlog::default_logger()->flush();
             std::_Exit(exitCode_);
         }
@@ -104,8 +105,8 @@
 
     void diskReported(const DiskReport& report) {
         if (report.event == DiskReport::Event::lost) {
-            // The next start finds the same, and begins as another with an empty disk.
-            spdlog::error("ends, since the disk lost what it held: {}", report.cause);
+            // The next start detects the loss too, and starts as a new member with an empty disk.
+            spdlog::error("exiting: the disk lost its data: {}", report.cause);
             exitCode_ = EXIT_FAILURE;
             return loop_.stop();
         }
@@ -116,7 +117,7 @@
         if (!refuses) released = gate_.durable(report.ticket);
         const Nanos now = transport::steadyNow();
         member_.diskSeen(diskHealth(now), now);
-        // Not through the gate again, where they would wait for the writes since.
+        // Not through the gate again, where they would wait for later writes.
         for (Output& output : released) dispatch(output);
         dispatchOutputs();
     }
@@ -127,13 +128,13 @@
             if (signal == SIGHUP) {
                 try {
                     settings::read(settingsPath_);
-                    spdlog::info("settings read again: sound");
+                    spdlog::info("settings read again: valid");
                 } catch (const settings::InvalidSettings& error) {
-                    spdlog::warn("settings kept as they were: {}", error.what());
+                    spdlog::warn("settings not valid, nothing changes: {}", error.what());
                 }
                 return listen();
             }
-            if (leaving_) return loop_.stop();  // told twice
+            if (leaving_) return loop_.stop();  // second signal: stop at once
             leaving_ = true;
             member_.leave(transport::steadyNow());
             dispatchOutputs();
@@ -199,14 +200,14 @@
         for (Outputs outputs = member_.takeOutputs(); !outputs.empty(); outputs = member_.takeOutputs())
             for (Output& output : outputs)
                 if (!gate_.holds(output)) dispatch(output);
-        // All at once: one wake-up of the disk's thread, one sync.
+        // All writes together: the disk thread wakes up once and syncs once.
         if (!toDisk_.empty()) writer_.submit(std::exchange(toDisk_, {}), lastWrite_);
         if (member_.mayEnd()) shutDown();
     }
-    // What was answered last gets the time to leave.
+    // Delays the stop a little so that the last answers are sent.
     void shutDown() {
         if (std::exchange(ending_, true)) return;
-        spdlog::info("control ends");
+        spdlog::info("control exits");
         lastAnswersTimer_.expires_after(std::chrono::milliseconds(20));
         lastAnswersTimer_.async_wait([this](boost::system::error_code) { loop_.stop(); });
     }
@@ -214,8 +215,8 @@
         std::visit([this](auto& each) { dispatch(each); }, output);
     }
     void dispatch(ToLink& out) {
-        const auto at = links_.find(out.link);
-        if (at != links_.end()) traffic_.sent(out.message.at("k"), at->second->send(out.message));
+        const auto found = links_.find(out.link);
+        if (found != links_.end()) traffic_.sent(out.message.at("k"), found->second->send(out.message));
     }
     void dispatch(ToSelf& out) { member_.voteStored(out.reply, transport::steadyNow()); }
     void dispatch(ToDisk& out) {
@@ -252,17 +253,17 @@
     }
 
     struct DialledMember {
-        int link = 0;  // 0: none; -1: being made
+        int link = 0;  // 0: none; -1: connecting
         Nanos nextAttemptAt = 0;
     };
     const settings::Settings settings_;
     const std::string settingsPath_;
     asio::io_context loop_;
-    DiskRecords records_;         // as the disk was opened; taken by begin()
-    std::unique_ptr<Disk> disk_;  // until the writer has it
+    DiskRecords records_;         // as read when the disk was opened; moved out by makeMember()
+    std::unique_ptr<Disk> disk_;  // until it is moved to the writer
     ControlMember member_;
     DurabilityGate gate_;
-    DiskRecords toDisk_;  // not handed to the writer yet
+    DiskRecords toDisk_;  // not submitted to the writer yet
     std::uint64_t lastWrite_ = 0;
     bool diskRefuses_ = false;
     int exitCode_ = EXIT_SUCCESS;
--- a/src/control/replica_ages.hpp
+++ b/src/control/replica_ages.hpp
@@ -1,8 +1,9 @@
-// For how long replicas have been on the record of a lead. A proxy that is cut off rests on the record that
-// it had for a bounded time (board::recordsRestedOnFor): once a replica is older than that, any proxy that
-// still does so knows of it. Ages are kept in the record, in whole steps, so that they outlive the member
-// that counts them; what passes between two steps or while nobody counts is left out, never made up. Free of
-// I/O and clocks.
+// Tracks how long replicas have been in the primary record. A proxy that lost contact keeps using its last
+// record for a bounded time (board::recordsRestedOnFor): once a replica has been on record for longer, every
+// proxy that still does so knows of it. Ages are stored in the record, in whole steps, so that they survive
+// the member that counts them. Time between two steps, or while no member counts, is never added: an age may
+// be too low but not too high, which would let a promotion rely on a replica that a proxy doesn't know. No
+// I/O or clocks.
 #pragma once
 
 #include <map>
@@ -13,24 +14,24 @@
 
 namespace granitereel::control {
 
-// Replicas that a proxy may not know of yet, with their ages in steps.
+// Recently added replicas that a proxy may not know yet, with their ages in steps.
 using RecentReplicas = std::map<std::string, unsigned>;
 
 class ReplicaAges {
 public:
-    // A replica of so many steps is young no more: any proxy that rests on a record knows of it, also one
-    // that counts from a lease before and whose clock is slow.
+    // In steps. From this age on every proxy knows the replica, even one that uses a record from before its
+    // last lease and whose clock is slow.
     static constexpr unsigned establishedAge = 3;
     static constexpr Nanos ageStep = (board::recordsRestedOnFor + millis(5000)) / establishedAge;
 
-    // What the record says now.
+    // Takes in the ages in the current record.
     void update(const RecentReplicas& onRecord, Nanos now);
-    // In steps, at most `grownUp`; 0: not seen on record yet.
+    // In steps, at most `establishedAge`; 0: not seen on record yet.
     unsigned age(const std::string& replica, Nanos now) const;
 
 private:
     struct Observation {
-        unsigned age = 0;  // at `since`, in steps
+        unsigned age = 0;  // in steps, at `since`
         Nanos since = 0;
     };
     std::map<std::string, Observation> observations_;
--- a/src/control/store_registry.cpp
+++ b/src/control/store_registry.cpp
@@ -10,14 +10,16 @@
 namespace {
 constexpr const char* accepting = "accepting";
 constexpr const char* windingDown = "winding_down";
-// Puts a tombstone above what others may at the same time make of a call of the store.
+// Raises a tombstone's version above any that another member may derive at the same time from a call of the
+// store.
 constexpr std::uint64_t tombstoneOffset = 1'000'000;
 
 std::string recordName(const std::string& id) {
     return "store/" + id;
 }
 
-// `coldLeft_ms` as it was at the change: it alone differs between the calls of a life that say the same.
+// `warmUpLeft_ms` is its value at the last change: it is the only field that differs between equal
+// registrations of one incarnation.
 Json recordBody(const StoreRegistration& registration, std::uint64_t startedAtVersion,
                 std::int64_t warmUpLeft_ms) {
     return {{"cold_left_ms", warmUpLeft_ms},
@@ -104,17 +106,18 @@
       lastTickAt_(now),
       lastDropAt_(now) {}
 
-void StoreRegistry::registerStore(std::uint64_t call, const StoreRegistration& registration, Nanos deadline,
+void StoreRegistry::registerStore(std::uint64_t callId, const StoreRegistration& registration, Nanos deadline,
                                   Nanos now) {
-    handleRegistration(call, registration, deadline, now);
+    handleRegistration(callId, registration, deadline, now);
 }
 
-void StoreRegistry::deregisterStore(std::uint64_t call, const std::string& id, Nanos deadline, Nanos now) {
-    handleDeregistration(call, recordName(id), deadline, now);
+void StoreRegistry::deregisterStore(std::uint64_t callId, const std::string& id, Nanos deadline, Nanos now) {
+    handleDeregistration(callId, recordName(id), deadline, now);
 }
 
-// Whether a call whose number is not above the known one, or that follows a tombstone, is of a later life: no
-// call of the known life can still be under way, or the store's slow start ends later than that life's did.
+// Whether a call whose number is not above the known one, or that follows a tombstone, is from a new
+// incarnation: either no call of the known incarnation can still be in flight, or the store's warm-up ends
+// later than that incarnation's did.
 bool StoreRegistry::isNewIncarnation(const StoreRegistration& registration, const Incarnation& incarnation,
                                      Nanos now) const {
     if (now - incarnation.lastHeartbeatAt >= heartbeatTimeout_) return true;
@@ -136,11 +139,12 @@
         return previous && now < incarnation.previousUntil ? Verdict::outdated : Verdict::newIncarnation;
     }
     const bool deregistered = known->body.is_null();
-    // What may be gone elsewhere is put anew, above what stands.
+    // A record that others may have dropped is written again, with a version above the current one.
     const bool confirmed = !deregistered && !host_.unconfirmed(recordName(registration.id));
     const bool same =
         confirmed && known->body == recordBody(registration, incarnationOf(*known), warmUpLeftOf(*known));
-    // The number alone: this very call may have been heard before it was found that the record was behind.
+    // Compares only the number: the same call may have been received before the record turned out to be
+    // behind.
     if (deregistered || registration.number < incarnation.number ||
         registration.number <= known->version.minor) {
         if (isNewIncarnation(registration, incarnation, now)) return Verdict::newIncarnation;
@@ -164,7 +168,7 @@
     incarnation.warmAt.reset();
 }
 
-void StoreRegistry::handleRegistration(std::uint64_t call, const StoreRegistration& registration,
+void StoreRegistry::handleRegistration(std::uint64_t callId, const StoreRegistration& registration,
                                        Nanos deadline, Nanos now) {
     const std::string name = recordName(registration.id);
     const board::Record* known = host_.board().find(name);
@@ -184,29 +188,30 @@
             recordBody(registration, incarnations_[name].startedAtVersion, registration.warmUpLeft_ms);
         host_.putRecord(name, {{major, registration.number}, body});
     } else if (registration.status != windingDown) {
-        // Said again, or overtaken: nothing hangs on who holds it.
-        return host_.answerStore(call, Kind::taken);
+        // Repeated or outdated: nothing depends on which voters hold it.
+        return host_.answerStore(callId, Kind::taken);
     } else if (!isLeaving(*known)) {
-        // Overtaken, or of a new life that can't be told yet: it says again that it leaves.
-        return host_.answerStore(call, Kind::unready);
+        // Outdated, or from a new incarnation that can't be recognised yet: the store will repeat the call.
+        return host_.answerStore(callId, Kind::unready);
     }
-    replicateToMajority({call, registration, name, *host_.board().find(name), {}, deadline, now}, now);
+    replicateToMajority({callId, registration, name, *host_.board().find(name), {}, deadline, now}, now);
 }
 
-void StoreRegistry::handleDeregistration(std::uint64_t call, const std::string& name, Nanos deadline,
+void StoreRegistry::handleDeregistration(std::uint64_t callId, const std::string& name, Nanos deadline,
                                          Nanos now) {
     const board::Record* known = host_.board().find(name);
     if (known && !known->body.is_null())
         host_.putRecord(name, {{known->version.major + 1, known->version.minor + tombstoneOffset}, nullptr});
     known = host_.board().find(name);
-    // Of a store that is not known here the others are asked.
-    replicateToMajority({call, std::nullopt, name, known ? *known : board::Record(), {}, deadline, now}, now);
+    // For a store that is unknown here, the other voters are asked for its record.
+    replicateToMajority({callId, std::nullopt, name, known ? *known : board::Record(), {}, deadline, now},
+                        now);
 }
 
 void StoreRegistry::replicateToMajority(Pending pending, Nanos now) {
     const auto seen = majorityHolds_.find(pending.name);
     if (seen != majorityHolds_.end() && seen->second == pending.record.version)
-        return host_.answerStore(pending.call, Kind::taken);
+        return host_.answerStore(pending.callId, Kind::taken);
     if (recordsComplete(now)) pending.holders.insert(self_);
     const std::uint64_t number = nextNumber_++;
     Pending& added = pending_[number] = std::move(pending);
@@ -222,7 +227,7 @@
         if (voter != self_ && !pending.holders.count(voter)) host_.sendTo(voter, message);
 }
 
-// Answers the store where a majority of the present voters holds its record.
+// Answers the store if a majority of the current voters holds its record.
 bool StoreRegistry::completeIfHeldByMajority(std::uint64_t number) {
     const Pending& pending = pending_.at(number);
     const Core& core = host_.core();
@@ -230,15 +235,16 @@
         std::count_if(pending.holders.begin(), pending.holders.end(),
                       [&](const std::string& holder) { return core.voters.count(holder) > 0; });
     if (!core.epoch || static_cast<std::size_t>(count) < core.majority()) return false;
-    // That no store is known is true for the moment of asking only.
+    // That the store is unknown holds only for the moment of the request, so it is not remembered.
     if (pending.record.version != board::Version()) majorityHolds_[pending.name] = pending.record.version;
-    host_.answerStore(pending.call, Kind::taken);
+    host_.answerStore(pending.callId, Kind::taken);
     pending_.erase(number);
     return true;
 }
 
-// A member that started has forgotten what it held: it counts as a holder only once it has the boards of
-// those that may hold it.
+// Whether this member counts as a holder. After a start it has lost the records that it held before, so it
+// counts only once it has received the records of enough other voters; counting it sooner could acknowledge a
+// change on top of an acknowledged one that was lost.
 bool StoreRegistry::recordsComplete(Nanos now) const {
     const Core& core = host_.core();
     if (!core.epoch) return false;
@@ -269,20 +275,20 @@
         completeIfHeldByMajority(answer.number);
         return;
     }
-    // Another record stands there: the call is judged again by it.
+    // The voter holds another record: the call is classified again with that record.
     const Pending retried = std::move(found->second);
     pending_.erase(found);
     if (answer.other->version == retried.record.version) {
-        // Two bodies under one version: the one that is asked for here goes above both.
+        // Two bodies with the same version: this request's body gets a version above both.
         const board::Version above{retried.record.version.major + 1, retried.record.version.minor};
         host_.putRecord(retried.name, {above, retried.record.body});
     } else {
         host_.putRecord(retried.name, *answer.other);
     }
     if (retried.registration)
-        handleRegistration(retried.call, *retried.registration, retried.deadline, now);
+        handleRegistration(retried.callId, *retried.registration, retried.deadline, now);
     else
-        handleDeregistration(retried.call, retried.name, retried.deadline, now);
+        handleDeregistration(retried.callId, retried.name, retried.deadline, now);
 }
 
 void StoreRegistry::recordChanged(const std::string& name, const board::Record& record, Nanos now) {
@@ -304,7 +310,7 @@
     incarnation.setWarmAt(now + millis(warmUpLeftOf(record)));
 }
 
-// What the board has dropped altogether is dropped here too.
+// Forgets stores whose records no longer exist.
 void StoreRegistry::dropUnknownStores(Nanos now) {
     if (now - lastDropAt_ < heartbeatTimeout_) return;
     lastDropAt_ = now;
@@ -314,7 +320,7 @@
 }
 
 void StoreRegistry::tick(Nanos now) {
-    // What came in while this process stood still is younger than it seems.
+    // Heartbeats that arrived while this process was stalled are newer than they seem.
     if (now - lastTickAt_ > stallThreshold)
         for (auto& [name, incarnation] : incarnations_) incarnation.lastHeartbeatAt = now;
     lastTickAt_ = now;
@@ -327,9 +333,9 @@
             sendToVoters(number, pending, now);
     }
     for (const std::uint64_t number : expired) {
-        const std::uint64_t call = pending_.at(number).call;
+        const std::uint64_t callId = pending_.at(number).callId;
         pending_.erase(number);
-        host_.answerStore(call, Kind::noMajority);
+        host_.answerStore(callId, Kind::noMajority);
     }
 }
 
--- a/src/control/store_registry.hpp
+++ b/src/control/store_registry.hpp
@@ -1,6 +1,7 @@
-// What stores say of themselves, as records of the board: which call is news, which one was overtaken, and
-// when a change may be acknowledged: once a majority of the voters holds it in memory. Free of I/O, clocks
-// and chance.
+// Turns the stores' registrations into shared records: decides which call changes a record, which one is
+// outdated, and when a change may be acknowledged. Invariant: an acknowledged change is held in memory by a
+// majority of the voters; otherwise the failure of one member could undo it. Deterministic: no I/O, clocks or
+// randomness.
 #pragma once
 
 #include <algorithm>
@@ -23,92 +24,97 @@
 struct StoreRegistration {
     std::string id, service, address, district, softwareVersion, status, role;
     std::int64_t connectionSlots = 0;
-    std::int64_t warmUpLeft_ms = 0;  // how much longer the store is slow from its start
-    std::uint64_t number = 0;        // rises with each call of one life of the store
-    // Throws nlohmann::json::exception where the body is not of this form.
+    std::int64_t warmUpLeft_ms = 0;  // remaining warm-up time after the store's start
+    std::uint64_t number = 0;        // increases with each call of one incarnation of the store
+    // Throws nlohmann::json::exception if the body is malformed.
     static StoreRegistration fromJson(const std::string& id, const std::string& body);
 };
 
-// Asks a voter to hold a store's record in memory. The version 0.0 asks only what it holds.
+// Asks a voter to hold a store's record in memory. With version 0.0 it only asks which record the voter
+// holds.
 struct StoreReplicationRequest {
     static constexpr const char* kind = "store_record_replicate";
-    std::string processIncarnation;  // of the asking process
-    std::uint64_t number = 0;        // of the question within that life
+    std::string processIncarnation;  // of the requesting process
+    std::uint64_t number = 0;        // of the request, within that incarnation
     std::string name;
     board::Record record;
     Json toJson() const;
-    // Throws nlohmann::json::exception where it is not of this form.
+    // Throws nlohmann::json::exception if it is malformed.
     static StoreReplicationRequest fromJson(const Json& message);
 };
 
-// The answer to StoreRecordReplicate: the record is held, or another of a version not below it stands.
+// The reply to StoreReplicationRequest: the voter holds the record, or another one whose version is not
+// lower.
 struct StoreReplicationReply {
     static constexpr const char* kind = "store_record_held";
     std::string processIncarnation;
     std::uint64_t number = 0;
-    std::optional<board::Record> other;  // none: held
+    std::optional<board::Record> other;  // none: the record is held
     Json toJson() const;
-    // Throws nlohmann::json::exception where it is not of this form.
+    // Throws nlohmann::json::exception if it is malformed.
     static StoreReplicationReply fromJson(const Json& message);
 };
 
 class StoreRegistry {
 public:
-    // What the registry needs of the member it belongs to.
+    // Interface to the owning member.
     struct Host {
         virtual ~Host() = default;
         virtual const board::Board& board() const = 0;
-        // A record for all; those of a version not above the one that stands change nothing.
+        // Publishes a record; one whose version is not above the current one changes nothing.
         virtual void putRecord(const std::string& name, board::Record record) = 0;
-        // Whether this record was missed for so long that it may be gone elsewhere (board::Gossip).
+        // Whether this record has not been renewed for so long that others may have dropped it
+        // (board::Gossip).
         virtual bool unconfirmed(const std::string& name) const = 0;
         virtual void sendTo(const std::string& voter, Json message) = 0;
         virtual const Core& core() const = 0;
-        virtual void answerStore(std::uint64_t call, Kind kind) = 0;
+        virtual void answerStore(std::uint64_t callId, Kind kind) = 0;
     };
-    // `life`: differs from that of every other process whose answers could come in.
+    // `processIncarnation`: unique among all processes whose replies could arrive here.
     StoreRegistry(std::string self, std::string processIncarnation, std::int64_t beatInterval_ms, Host& host,
                   Nanos now);
 
-    // Calls of stores, to be passed on only while the member holds a lease. What no majority holds by `until`
-    // is answered as failed.
-    void registerStore(std::uint64_t call, const StoreRegistration& registration, Nanos deadline, Nanos now);
-    void deregisterStore(std::uint64_t call, const std::string& id, Nanos deadline, Nanos now);
-    // A question of another member. None: not to be answered, as this member may have forgotten what it held.
+    // Calls by stores; valid only while the member holds a lease. A change that no majority holds by
+    // `deadline` is answered as failed.
+    void registerStore(std::uint64_t callId, const StoreRegistration& registration, Nanos deadline,
+                       Nanos now);
+    void deregisterStore(std::uint64_t callId, const std::string& id, Nanos deadline, Nanos now);
+    // A request by another member. None: not answered, since this member may have lost records that it held
+    // before a restart.
     std::optional<StoreReplicationReply> replicate(const StoreReplicationRequest& request, Nanos now);
     void replicationAnswered(const std::string& voter, const StoreReplicationReply& answer, Nanos now);
-    // The whole board of this voter has been heard.
+    // All records of this voter have been received.
     void recordsReceivedFrom(const std::string& voter) { recordsReceived_.insert(voter); }
     void recordChanged(const std::string& name, const board::Record& record, Nanos now);
     void tick(Nanos now);
 
-    // The longest that a call is counted for.
+    // Maximum time that a call waits for a majority.
     static constexpr Nanos maxPendingTime = millis(850);
-    // A question that was not answered is sent again; what it asks is the same.
+    // Interval after which an unanswered replication request is repeated unchanged.
     static constexpr Nanos retryInterval = millis(250);
-    // Where a majority of the others does not come, a member that started answers for a majority that counts
-    // itself, once all that was asked before its start has ended and links were made anew.
+    // If no majority of the other voters sends its records, a restarted member counts itself in the majority
+    // after this: all requests from before its start have ended by then, and links have been re-established.
     static constexpr Nanos recordsTimeout = maxPendingTime + millis(700);
-    // A call of one life of a store that is under way for so many beats is taken to have been lost.
+    // A store's call that has been in flight for this many heartbeats counts as lost.
     static constexpr int maxMissedHeartbeats = 5;
-    // A process that did nothing for longer can't tell a store's silence from its own.
+    // After a pause of its own longer than this, a process can't tell whether a store was silent.
     static constexpr Nanos stallThreshold = millis(1000);
 
 private:
     enum class Verdict { unchanged, outdated, changed, newIncarnation };
-    // What this member saw of the present life of a store.
+    // What this member knows of a store's current incarnation.
     struct Incarnation {
         std::string address, softwareVersion, previousAddress, previousSoftwareVersion;
-        std::uint64_t startedAtVersion = 0;  // the version's major part at which the life began
-        std::uint64_t number = 0;            // the highest heard
+        std::uint64_t startedAtVersion = 0;  // the record version's major part at which it began
+        std::uint64_t number = 0;            // the highest received
         Nanos lastHeartbeatAt = 0, previousUntil = 0;
-        std::optional<Nanos> warmAt;  // when the store's slow start is over
+        std::optional<Nanos> warmAt;  // when the store's warm-up ends
         void setWarmAt(Nanos at) { warmAt = std::min(warmAt.value_or(at), at); }
     };
-    // A record whose holders are being counted, for a store that waits for its answer.
+    // A record that is being replicated, for a store that waits for the response.
     struct Pending {
-        std::uint64_t call = 0;
-        std::optional<StoreRegistration> registration;  // none: the store leaves
+        std::uint64_t callId = 0;
+        std::optional<StoreRegistration> registration;  // none: the store deregisters
         std::string name;
         board::Record record;
         std::set<std::string> holders;
@@ -117,9 +123,9 @@
     Verdict classify(const StoreRegistration& registration, const board::Record* known, Nanos now) const;
     bool isNewIncarnation(const StoreRegistration& registration, const Incarnation& incarnation,
                           Nanos now) const;
-    void handleRegistration(std::uint64_t call, const StoreRegistration& registration, Nanos deadline,
+    void handleRegistration(std::uint64_t callId, const StoreRegistration& registration, Nanos deadline,
                             Nanos now);
-    void handleDeregistration(std::uint64_t call, const std::string& name, Nanos deadline, Nanos now);
+    void handleDeregistration(std::uint64_t callId, const std::string& name, Nanos deadline, Nanos now);
     void beginIncarnation(const StoreRegistration& registration, std::uint64_t startedAtVersion, Nanos now);
     void replicateToMajority(Pending pending, Nanos now);
     void sendToVoters(std::uint64_t number, Pending& pending, Nanos now);
@@ -134,7 +140,7 @@
     Nanos lastTickAt_, lastDropAt_;
     std::set<std::string> recordsReceived_;
     std::map<std::string, Incarnation> incarnations_;      // by the record's name
-    std::map<std::string, board::Version> majorityHolds_;  // what a majority was seen to hold
+    std::map<std::string, board::Version> majorityHolds_;  // versions known to be held by a majority
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t nextNumber_ = 1;
 };
--- a/src/control/unsettled_primaries.cpp
+++ b/src/control/unsettled_primaries.cpp
@@ -34,9 +34,9 @@
 
 UnsettledSequences UnsettledPrimaries::acceptedLocally(const board::Board& board) const {
     UnsettledSequences sequences;
-    for (const auto& [service, value] : accepted_)
-        if (!value.settled || value.sequence > sequenceInRecords(board, service))
-            sequences[service] = value.sequence;
+    for (const auto& [service, latest] : accepted_)
+        if (!latest.settled || latest.sequence > sequenceInRecords(board, service))
+            sequences[service] = latest.sequence;
     return sequences;
 }
 
--- a/src/control/unsettled_primaries.hpp
+++ b/src/control/unsettled_primaries.hpp
@@ -1,5 +1,6 @@
-// Which leads may be about to change, as far as a member can tell: from what its own disk has accepted, and
-// from what voters answered to its lease's rounds. Free of I/O.
+// The services whose primary may be about to change, as far as this member knows: from values accepted on its
+// own disk, and from the voters' replies to its lease rounds. No proxy may treat such a service's record as
+// current under this member's lease, or it could use a replaced primary. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +15,15 @@
 
 class UnsettledPrimaries {
 public:
-    // What this member's disk now holds accepted of a register; others than leads' are passed over.
+    // A value that this member's disk now holds as accepted. Registers of other kinds are ignored.
     void accepted(const std::string& name, const Json& value);
-    // What a voter answered. It stands until the board has the change, or as long as a lease can rest on
-    // that answer.
+    // A voter's reply. Kept until the records include the change, or as long as a lease can depend on the
+    // reply.
     void reported(const UnsettledSequences& sequences, Nanos now);
 
-    // As this member answers a round: accepted here, and unsteady or newer than the board.
+    // This member's own reply to a round: values accepted here that are unsettled or newer than the records.
     UnsettledSequences acceptedLocally(const board::Board& board) const;
-    // As it tells those under its lease: its own and those told.
+    // What holders of a lease from this member get: its own and the reported ones.
     UnsettledSequences all(const board::Board& board, Nanos now) const;
 
 private:
--- a/src/log_position.hpp
+++ b/src/log_position.hpp
@@ -13,7 +13,7 @@
     std::uint64_t term = 0, number = 0;
     auto operator<=>(const LogPosition&) const = default;
 };
-// None where the text is not of this form, as "-" is.
+// None if the text is malformed; "-", for no position, is malformed too.
 std::optional<LogPosition> parseLogPosition(std::string_view text);
 std::string toString(const LogPosition& position);
 
--- a/src/store_status.hpp
+++ b/src/store_status.hpp
@@ -1,4 +1,4 @@
-// What a store says of itself when it is asked for its status, as control and the proxy read it.
+// A store's response to the STATUS statement, as read by control and the proxy.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
     LogPosition receivedPosition;
     std::uint64_t fencedTerm = 0;  // the newest term at which it was paused or told to step down
 };
-// Of "role term position-received term-held lag-ms busy connections"; none: not of that form.
+// Parses "role term position-received term-held lag-ms busy connections"; none if malformed.
 std::optional<StoreStatus> parseStoreStatus(const std::string& fields);
 
 }  // namespace granitereel
