--- a/src/control/lease.cpp
+++ b/src/control/lease.cpp
@@ -5,7 +5,7 @@
 namespace granitereel::control {
 
 namespace {
-// Rounds that answers are still awaited for; older ones could extend nothing.
+// Rounds whose replies are still counted; older ones could no longer extend the lease.
 constexpr std::size_t maxPendingRounds = 8;
 }  // namespace
 
@@ -45,7 +45,8 @@
                            const VoterSet& voterSet) {
     const auto found = rounds_.find(answer.round);
     if (found == rounds_.end()) return;
-    // Answers of two epochs are no majority of either.
+    // Replies from two epochs do not form a majority of either: two disjoint majorities could both grant
+    // leases.
     if (answer.epoch != voterSet.epoch || found->second.epoch != voterSet.epoch) return;
     countVote(found->second, voter, voterSet);
 }
--- a/src/control/unsettled_primaries.cpp
+++ b/src/control/unsettled_primaries.cpp
@@ -34,9 +34,9 @@
 
 UnsettledSequences UnsettledPrimaries::acceptedLocally(const gossip::RecordTable& recordTable) const {
     UnsettledSequences sequences;
-    for (const auto& [service, value] : accepted_)
-        if (!value.settled || value.sequence > sequenceInRecords(recordTable, service))
-            sequences[service] = value.sequence;
+    for (const auto& [service, latest] : accepted_)
+        if (!latest.settled || latest.sequence > sequenceInRecords(recordTable, service))
+            sequences[service] = latest.sequence;
     return sequences;
 }
 
