--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -162,10 +162,10 @@
                                     now_ + std::max(healthHalfLife, proxyCount_ * milliseconds(100)));
     if (outcome == AttemptOutcome::unreachable || outcome == AttemptOutcome::connectionLost)
         markUnhealthy(store, true);
-    // Rejected at once: the process is gone, or accepts no more connections; a probe tells which.
+    // Rejected at once: the process is gone, or accepts no more connections; a probe shows which.
     store.lastRefused = outcome == AttemptOutcome::unreachable && delay < milliseconds(50);
     store.refused |= store.lastRefused;
-    // Either may be the store's end or only the connection's: a probe tells soon.
+    // The store may be gone, or only the connection: a probe shows which.
     if (outcome == AttemptOutcome::connectionLost || store.lastRefused) probeStore(store);
     auto shrink = [&](double factor) {
         // Once in a few intervals: responses that were delayed together are one sign.
@@ -341,17 +341,17 @@
 void Router::updateWarmStoreWork() {
     // Once a second: the sums decay over some seconds.
     nextWorkUpdate_ = now_ + milliseconds(1000);
-    double borne = 0;
-    int warm = 0;
+    double totalWork = 0;
+    int warmStores = 0;
     for (auto& [id, store] : stores_) {
         if (store->state != StoreState::up || warmShare(*store) < 1 || store->unreachableSince ||
             store->suspectSince)
             continue;
         // A decaying sum holds 1/ln 2 half-lives' worth.
-        borne += store->workDone.read(now_, healthHalfLife) * 0.693 / double(healthHalfLife);
-        ++warm;
+        totalWork += store->workDone.read(now_, healthHalfLife) * 0.693 / double(healthHalfLife);
+        ++warmStores;
     }
-    if (warm > 0) warmStoreWork_ = borne / warm;
+    if (warmStores > 0) warmStoreWork_ = totalWork / warmStores;
     // A store is dropped a minute after the list removed it, many times what roles and lists may be late,
     // unless it still works or was never seen to end. It guards against fleets that are replaced for months.
     std::erase_if(stores_, [&](auto& each) {
