--- a/bench/tls.cpp
+++ b/bench/tls.cpp
@@ -12,7 +12,7 @@
 
 #include "bench.hpp"
 #include "standins/store.hpp"
-#include "tls/sealed.hpp"
+#include "tls/tls_stream.hpp"
 
 using namespace granitereel;
 using standins::Authority;
@@ -82,7 +82,7 @@
 void handshake(benchmark::State& state) {
     const bool resume = state.range(0) != 0;
     Hall hall(true, 0);
-    const auto trust = std::make_shared<tls::Trust>(hall.terms(), std::time(nullptr));
+    const auto trust = std::make_shared<tls::TrustStore>(hall.terms(), std::time(nullptr));
     std::shared_ptr<SSL_SESSION> ticket;
     std::int64_t resumed = 0, all = 0;
     for (auto _ : state) {
@@ -95,16 +95,16 @@
         char said;
         tls::asio::read(socket, tls::asio::buffer(&said, 1));
         const auto session = resume ? std::exchange(ticket, nullptr) : nullptr;
-        tls::Sealed sealed(trust, socket, "r", false, session.get(), [&](SSL_SESSION* offered) {
+        tls::TlsStream sealed(trust, socket, "r", false, session.get(), [&](SSL_SESSION* offered) {
             ticket = {offered, SSL_SESSION_free};
         });
         std::int64_t cost = 0;
         tls::asio::co_spawn(
             io,
             [&]() -> tls::asio::awaitable<void> {
-                const auto shaken = co_await sealed.shake();
-                assert(shaken.fault.empty());
-                cost = sealed.cost();
+                const auto shaken = co_await sealed.handshake();
+                assert(shaken.error.empty());
+                cost = sealed.handshakeCpuTime();
                 resumed += shaken.resumed;
                 ++all;
                 const std::string hello = postgres::startupMessage();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 using granitereel::Station;
 using granitereel::Told;
 using granitereel::fittings::Fittings;
-using granitereel::tls::Untrusted;
+using granitereel::tls::CertificateError;
 
 // Exit codes: 0 done, 1 could not serve, 2 wrong command line or config.
 constexpr int cannotServe = 1, wrong = 2;
@@ -37,7 +37,7 @@
               << station.opening.charter.proxyIndex + 1 << " of " << station.opening.charter.proxyCount
               << ", " << (station.memory >> 20) << " MB, " << station.descriptors << " descriptors\n";
     if (fittings.has_tls_to_stores()) {
-        const granitereel::tls::Trust trust(fittings.tls_to_stores(), std::time(nullptr));
+        const granitereel::tls::TrustStore trust(fittings.tls_to_stores(), std::time(nullptr));
         std::cout << station.name << ": TLS to stores, expects '" << fittings.tls_to_stores().expected_name()
                   << "'" << (fittings.tls_to_stores().has_certificate() ? ", shows its own certificate" : "")
                   << "\n";
@@ -94,7 +94,7 @@
     } catch (const Misfit& fault) {
         std::cerr << "granitereel: " << fault.what() << "\n";
         return wrong;
-    } catch (const Untrusted& fault) {
+    } catch (const CertificateError& fault) {
         std::cerr << "granitereel: " << fault.what() << "\n";
         return wrong;
     } catch (const std::exception& fault) {
--- a/src/memory/stores.cpp
+++ b/src/memory/stores.cpp
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <cerrno>
 
-#include "tls/sealed.hpp"
+#include "tls/tls_stream.hpp"
 
 namespace granitereel {
 
@@ -70,7 +70,7 @@
     // run: three quarters of the limit leave room for its clock and the way.
     if (idleLimit_ > 0 && now - line.idleSince > idleLimit_ / 4 * 3) return false;
     // Sealed, there may be what concerns TLS alone, such as a ticket.
-    if (line.seal) return line.seal->atRest();
+    if (line.seal) return line.seal->isIdle();
     char byte;
     const auto got = ::recv(line.socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);  // else ended, or spoke unasked
--- a/src/memory/stores.hpp
+++ b/src/memory/stores.hpp
@@ -21,7 +21,7 @@
 using asio::ip::tcp;
 
 namespace tls {
-class Sealed;
+class TlsStream;
 }
 
 // What the list says of a store, as far as reaching it goes.
@@ -59,7 +59,7 @@
     bool overdue = false, calledBack = false;
     unsigned limitNo = 0;  // of the limit: one that has fired but not yet run says nothing of the next
     // TLS, where it is on: made under which trust; its turn for a handshake; what wakes it while it waits.
-    std::unique_ptr<tls::Sealed> seal;
+    std::unique_ptr<tls::TlsStream> seal;
     unsigned epoch = 0;
     std::uint64_t turn = 0;
     std::function<void()> wakes;
--- a/src/run/program.cpp
+++ b/src/run/program.cpp
@@ -33,14 +33,14 @@
       places_(station.descriptors),
       pool_(io_.get_executor(), places_, station.opening.idleLimit),
       desk_(io_.get_executor(), clock_, station.opening.charter, station.seed),
-      locksmith_(fittings.has_tls_to_stores()
-                     ? std::make_unique<tls::Locksmith>(io_.get_executor(), clock_, book_,
-                                                        fittings.tls_to_stores(), station.cores,
-                                                        station.memory, station.opening.charter.warmUpTime)
-                     : nullptr),
+      tlsConnector_(fittings.has_tls_to_stores()
+                        ? std::make_unique<tls::TlsConnector>(
+                              io_.get_executor(), clock_, book_, fittings.tls_to_stores(), station.cores,
+                              station.memory, station.opening.charter.warmUpTime)
+                        : nullptr),
       post_(fleetOf(io_.get_executor(), clock_, station, fittings, desk_)),
       stores_(io_.get_executor(), clock_, desk_, book_, pool_, budget_, station.opening.connectWithin,
-              station.opening.storesReport, locksmith_.get()),
+              station.opening.storesReport, tlsConnector_.get()),
       discovery_(io_.get_executor(), desk_, book_, station.opening.zones, station.discovery),
       clients_(io_.get_executor(), clock_, desk_, stores_, budget_, station.opening.charter.classes, places_),
       acceptor_(io_),
@@ -83,8 +83,8 @@
         pause.expires_after(std::chrono::milliseconds(100));
         co_await pause.async_wait(quietly);
         clients_.tidy();
-        if (locksmith_)
-            for (const std::string& store : locksmith_->renewals(pool_))
+        if (tlsConnector_)
+            for (const std::string& store : tlsConnector_->startDueRenewals(pool_))
                 asio::co_spawn(io_, stores_.renew(store), asio::detached);
         if (round % 10 > 0) continue;
         pool_.sweep(clock_.now());
@@ -130,9 +130,9 @@
     if (told_.fittings.empty()) return;
     try {
         const fittings::Fittings again = readFittings(told_.fittings);
-        if (again.has_tls_to_stores() != (locksmith_ != nullptr))
+        if (again.has_tls_to_stores() != (tlsConnector_ != nullptr))
             throw Misfit(told_.fittings + ": TLS is turned on or off by a restart alone");
-        if (locksmith_) locksmith_->take(again.tls_to_stores());
+        if (tlsConnector_) tlsConnector_->update(again.tls_to_stores());
     } catch (const std::runtime_error& fault) {
         spdlog::warn("fittings not read again, nothing changes: {}", fault.what());
     }
--- a/src/run/program.hpp
+++ b/src/run/program.hpp
@@ -50,8 +50,8 @@
     DescriptorBudget places_;
     LinePool pool_;
     AsyncRouter desk_;
-    std::unique_ptr<tls::Locksmith> locksmith_;  // null where TLS is off
-    std::unique_ptr<tier::Post> post_;           // null where the fronts don't know each other
+    std::unique_ptr<tls::TlsConnector> tlsConnector_;  // null where TLS is off
+    std::unique_ptr<tier::Post> post_;                 // null where the fronts don't know each other
     Stores stores_;
     Discovery discovery_;
     Clients clients_;
--- a/src/tls/tickets.hpp
+++ b/src/tls/session_cache.hpp
@@ -12,36 +12,37 @@
 
 namespace granitereel::tls {
 
-class Tickets {
+class SessionCache {
 public:
     using Handle = std::shared_ptr<void>;
     // At most so many for a store, and so many bytes in all; the oldest go first.
-    Tickets(std::size_t perStore, std::size_t bytes) : perStore_(perStore), most_(bytes) {}
+    SessionCache(std::size_t maxPerStore, std::size_t maxBytes)
+        : maxPerStore_(maxPerStore), maxBytes_(maxBytes) {}
 
     // `epoch`: of the trust that the session was made under.
-    void keep(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
-              std::size_t bytes, Nanoseconds goodUntil);
+    void insert(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
+                std::size_t bytes, Nanoseconds expiresAt);
     // The newest that is still good; null if there is none.
-    Handle take(const std::string& store, const std::string& name, unsigned epoch, Nanoseconds now);
+    Handle popNewest(const std::string& store, const std::string& name, unsigned epoch, Nanoseconds now);
     // New trust or a new identity: nothing made under the old is used any more.
-    void dropAll();
+    void clear();
     std::size_t bytes() const { return bytes_; }
-    std::size_t count() const { return byAge_.size(); }
+    std::size_t count() const { return oldestFirst_.size(); }
 
 private:
-    struct Ticket {
+    struct Session {
         std::string store, name;
         unsigned epoch = 0;
         Handle handle;
         std::size_t bytes = 0;
-        Nanoseconds goodUntil = 0;
+        Nanoseconds expiresAt = 0;
     };
-    using Age = std::list<Ticket>;
-    void drop(const std::string& store, Age::iterator which);
+    using SessionList = std::list<Session>;
+    void erase(const std::string& store, SessionList::iterator session);
 
-    std::size_t perStore_, most_, bytes_ = 0;
-    Age byAge_;  // the oldest first
-    std::map<std::string, std::deque<Age::iterator>> byStore_;
+    std::size_t maxPerStore_, maxBytes_, bytes_ = 0;
+    SessionList oldestFirst_;  // the oldest first
+    std::map<std::string, std::deque<SessionList::iterator>> byStore_;
 };
 
 }  // namespace granitereel::tls
--- a/src/tls/trust.hpp
+++ b/src/tls/trust_store.hpp
@@ -14,20 +14,20 @@
 namespace granitereel::tls {
 
 // The files can't be used; the text names the file and says why.
-struct Untrusted : std::runtime_error {
+struct CertificateError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-class Trust {
+class TrustStore {
 public:
     // Reads and checks all files. Throws Untrusted.
-    Trust(const fittings::TlsToStores& terms, std::time_t now);
+    TrustStore(const fittings::TlsToStores& settings, std::time_t now);
 
     SSL_CTX* context() const { return context_.get(); }
     // The same for the same files: whether anything has changed.
     const std::string& digest() const { return digest_; }
     // Certificates that run out before `then`, a line on each.
-    std::vector<std::string> runOutBefore(std::time_t then) const;
+    std::vector<std::string> expiringBefore(std::time_t limit) const;
 
 private:
     struct Free {
@@ -35,14 +35,15 @@
         void operator()(X509* certificate) const { X509_free(certificate); }
     };
     std::unique_ptr<SSL_CTX, Free> context_;
-    std::vector<std::unique_ptr<X509, Free>> kept_;  // trusted ones, and the own one last where there is one
+    std::vector<std::unique_ptr<X509, Free>>
+        certificates_;  // trusted ones, and the own one last where there is one
     std::string digest_;
 };
 
 // 'subject CN=..., serial 1A, good until 2027-01-31T00:00:00Z'; of what a peer shows.
-std::string describe(X509* certificate);
+std::string describeCertificate(X509* certificate);
 // The last error of the library on this thread, in its words; the queue is empty after it.
-std::string lastFault();
-std::time_t endOf(X509* certificate);
+std::string popOpenSslError();
+std::time_t expiryOf(X509* certificate);
 
 }  // namespace granitereel::tls
--- a/src/wire/stores.cpp
+++ b/src/wire/stores.cpp
@@ -158,14 +158,14 @@
     }
 }
 
-asio::awaitable<bool> Stores::connect(std::shared_ptr<Line> line, Nanoseconds until, tls::For what,
-                                      Heard& heard) {
-    if (locksmith_) {
+asio::awaitable<bool> Stores::connect(std::shared_ptr<Line> line, Nanoseconds until,
+                                      tls::HandshakePurpose what, Heard& heard) {
+    if (tlsConnector_) {
         // Waited for as long as connecting may take, which begins only then.
         line->closeAt(clock_.at(std::min(until, clock_.now() + connectWithin_)));
-        const auto turned = co_await locksmith_->turn(line, what);
-        heard.deferred = turned == tls::Locksmith::Turned::deferred;
-        if (turned != tls::Locksmith::Turned::mayBegin) co_return false;
+        const auto turned = co_await tlsConnector_->admit(line, what);
+        heard.deferred = turned == tls::TlsConnector::Admission::deferred;
+        if (turned != tls::TlsConnector::Admission::granted) co_return false;
     }
     const auto address = book_.find(line->store);
     until = std::min(until, clock_.now() + connectWithin_);
@@ -178,9 +178,9 @@
     }
     boost::system::error_code ignored;
     if (up) line->socket.set_option(tcp::no_delay(true), ignored);
-    if (locksmith_) {
-        const Nanoseconds work = up ? co_await locksmith_->seal(line) : 0;
-        if (!up) locksmith_->passes(*line);
+    if (tlsConnector_) {
+        const Nanoseconds work = up ? co_await tlsConnector_->handshake(line) : 0;
+        if (!up) tlsConnector_->cancelHandshake(*line);
         if (work > 0) desk_.handshakeDone(line->store, work);
         up = up && line->seal;
     }
@@ -206,7 +206,8 @@
             if (auto held = at.lock()) held->abandon();
         });
     if (fresh && !line->calledBack) {
-        const bool up = co_await connect(line, until, ticket ? tls::For::statement : tls::For::probe, heard);
+        const bool up = co_await connect(
+            line, until, ticket ? tls::HandshakePurpose::statement : tls::HandshakePurpose::probe, heard);
         line->release();
         if (!up && !line->calledBack) co_return nullptr;
     }
@@ -216,7 +217,7 @@
 void Stores::keep(std::shared_ptr<Line> line, const Heard& heard) {
     line->release();
     if (!heard.ready || line->ended() || !line->inbox.unread().empty()) return;
-    if (locksmith_ && !locksmith_->mayRest(*line)) return;
+    if (tlsConnector_ && !tlsConnector_->mayKeepIdle(*line)) return;
     pool_.put(std::move(line), clock_.now());
 }
 
@@ -281,10 +282,11 @@
     const Nanoseconds begun = clock_.now();
     Heard heard;
     if (auto line = pool_.make(store, budget_)) {
-        const bool up = co_await connect(line, begun + 2 * connectWithin_, tls::For::renewal, heard);
+        const bool up =
+            co_await connect(line, begun + 2 * connectWithin_, tls::HandshakePurpose::renewal, heard);
         if (up) keep(line, heard);
     }
-    locksmith_->renewed(store, clock_.now() - begun);
+    tlsConnector_->finishRenewal(store, clock_.now() - begun);
 }
 
 asio::awaitable<void> Stores::probe(std::string store) {
--- a/src/wire/stores.hpp
+++ b/src/wire/stores.hpp
@@ -5,7 +5,7 @@
 
 #include "facade/async_router.hpp"
 #include "memory/stores.hpp"
-#include "tls/locksmith.hpp"
+#include "tls/tls_connector.hpp"
 
 namespace granitereel {
 
@@ -17,7 +17,8 @@
 class Stores {
 public:
     Stores(asio::any_io_executor on, const Clock& clock, AsyncRouter& desk, const AddressBook& book,
-           LinePool& pool, Budget& budget, Nanoseconds connectWithin, bool reports, tls::Locksmith* locksmith)
+           LinePool& pool, Budget& budget, Nanoseconds connectWithin, bool reports,
+           tls::TlsConnector* tlsConnector)
         : on_(on),
           clock_(clock),
           desk_(desk),
@@ -26,7 +27,7 @@
           budget_(budget),
           connectWithin_(connectWithin),
           reports_(reports),
-          locksmith_(locksmith) {}
+          tlsConnector_(tlsConnector) {}
 
     // Launches, waits for the ending and reports it. The answer, where delivered, is written to `answer` as
     // the store sent it.
@@ -40,7 +41,8 @@
 
 private:
     struct Heard;
-    asio::awaitable<bool> connect(std::shared_ptr<Line> line, Nanoseconds until, tls::For what, Heard& heard);
+    asio::awaitable<bool> connect(std::shared_ptr<Line> line, Nanoseconds until, tls::HandshakePurpose what,
+                                  Heard& heard);
     asio::awaitable<std::shared_ptr<Line>> reach(std::string store, Nanoseconds until,
                                                  TransactionHandle* ticket, Heard& heard);
     asio::awaitable<void> hear(std::shared_ptr<Line> line, Nanoseconds until, Heard& heard);
@@ -54,7 +56,7 @@
     Budget& budget_;
     Nanoseconds connectWithin_;
     bool reports_;
-    tls::Locksmith* locksmith_;  // null where TLS is off
+    tls::TlsConnector* tlsConnector_;  // null where TLS is off
 };
 
 // What a report says, told as 'name=value,...'; nothing where any of it can't be.
--- a/tests/properties.cpp
+++ b/tests/properties.cpp
@@ -7,8 +7,8 @@
 #include <cstdlib>
 
 #include "descriptors/descriptor_budget.hpp"
-#include "tls/pace.hpp"
-#include "tls/tickets.hpp"
+#include "tls/handshake_limiter.hpp"
+#include "tls/session_cache.hpp"
 
 using namespace granitereel;
 
@@ -93,9 +93,9 @@
     const int atOnce = 1 + below(20), perStore = 1 + below(atOnce);
     const double share = 0.01 * (1 + below(90));
     Nanoseconds now = milliseconds(1000);
-    tls::Pace pace({atOnce, perStore, share, 0}, now);
+    tls::HandshakeLimiter pace({atOnce, perStore, share, 0}, now);
     const Nanoseconds begun = now;
-    std::map<tls::Pace::Turn, std::string> waiting, underWay;
+    std::map<tls::HandshakeLimiter::RequestId, std::string> waiting, underWay;
     const auto anyOf = [](auto& of) { return std::next(of.begin(), below(static_cast<int>(of.size()))); };
     double spent = 0, dearest = 1e6;
     for (int steps = 10 * below(30); steps > 0; --steps) {
@@ -104,13 +104,13 @@
             case 0:
             case 1: {
                 const std::string store = "s" + std::to_string(below(4));
-                waiting[pace.asks(store, static_cast<tls::For>(below(3)), 0, now)] = store;
+                waiting[pace.enqueue(store, static_cast<tls::HandshakePurpose>(below(3)), 0, now)] = store;
                 break;
             }
             case 2:
                 if (!waiting.empty()) {
                     const auto one = anyOf(waiting);
-                    pace.leaves(one->first);
+                    pace.release(one->first);
                     waiting.erase(one);
                 }
                 break;
@@ -118,25 +118,26 @@
                 if (!underWay.empty()) {
                     const auto one = anyOf(underWay);
                     const Nanoseconds cost = milliseconds(below(5));
-                    pace.ended(one->first, static_cast<tls::Pace::End>(below(4)), cost, now);
+                    pace.finish(one->first, static_cast<tls::HandshakeLimiter::Outcome>(below(4)), cost, now);
                     spent += double(cost);
                     dearest = std::max(dearest, double(cost));
                     underWay.erase(one);
                 }
                 break;
             default:
-                while (const auto turn = pace.next(now)) {
+                while (const auto turn = pace.startNext(now)) {
                     RC_ASSERT(waiting.count(*turn) == 1);
                     underWay.insert(waiting.extract(*turn));
                 }
-                RC_ASSERT(!pace.lookAt() || *pace.lookAt() > now);
+                RC_ASSERT(!pace.nextStartAt() || *pace.nextStartAt() > now);
                 // Nobody waits for nothing: what could begin has begun, or there is a time to look again.
-                RC_ASSERT(waiting.empty() || !underWay.empty() || pace.lookAt());
+                RC_ASSERT(waiting.empty() || !underWay.empty() || pace.nextStartAt());
         }
         std::map<std::string, int> each;
         for (const auto& [turn, store] : underWay) RC_ASSERT(++each[store] <= perStore);
-        RC_ASSERT(pace.underWay() == static_cast<int>(underWay.size()) && pace.underWay() <= atOnce);
-        RC_ASSERT(pace.waiting() == waiting.size());
+        RC_ASSERT(pace.inFlightCount() == static_cast<int>(underWay.size()) &&
+                  pace.inFlightCount() <= atOnce);
+        RC_ASSERT(pace.waitingCount() == waiting.size());
         RC_ASSERT(spent <= share * double(now - begun + milliseconds(100)) + (atOnce + 1) * dearest);
     }
 }
@@ -145,7 +146,7 @@
 void tickets() {
     const int perStore = below(5);
     const std::size_t most = 1000 * static_cast<std::size_t>(1 + below(20));
-    tls::Tickets tickets(static_cast<std::size_t>(perStore), most);
+    tls::SessionCache tickets(static_cast<std::size_t>(perStore), most);
     struct Ticket {
         std::string store, name;
         unsigned epoch;
@@ -158,13 +159,13 @@
         now += milliseconds(below(100));
         const std::string store = "s" + std::to_string(below(3)), name = "n" + std::to_string(below(2));
         if (below(10) == 0) {
-            tickets.dropAll();
+            tickets.clear();
             ++epoch;
         } else if (below(2)) {
             const Nanoseconds until = now + milliseconds(below(500));
-            tickets.keep(store, name, epoch, std::make_shared<Ticket>(Ticket{store, name, epoch, until}),
-                         static_cast<std::size_t>(below(3000)), until);
-        } else if (const auto handle = tickets.take(store, name, epoch, now)) {
+            tickets.insert(store, name, epoch, std::make_shared<Ticket>(Ticket{store, name, epoch, until}),
+                           static_cast<std::size_t>(below(3000)), until);
+        } else if (const auto handle = tickets.popNewest(store, name, epoch, now)) {
             auto& ticket = *static_cast<Ticket*>(handle.get());
             RC_ASSERT(!ticket.used && ticket.store == store && ticket.name == name);
             RC_ASSERT(ticket.epoch == epoch && now < ticket.goodUntil);
--- a/tests/tls.cpp
+++ b/tests/tls.cpp
@@ -8,50 +8,52 @@
 #include "fittings/fittings.hpp"
 #include "standins/relay.hpp"
 #include "standins/store.hpp"
-#include "tls/pace.hpp"
-#include "tls/tickets.hpp"
-#include "tls/trust.hpp"
+#include "tls/handshake_limiter.hpp"
+#include "tls/session_cache.hpp"
+#include "tls/trust_store.hpp"
 
 using namespace granitereel;
 using standins::Audit;
 using standins::Authority;
-using tls::For;
-using tls::Pace;
-using End_ = tls::Pace::End;
+using tls::HandshakeLimiter;
+using tls::HandshakePurpose;
+using End_ = tls::HandshakeLimiter::Outcome;
 
 // ---- pace and tickets -------------------------------------------------------------------------------
 
 // Statements first, then probes, then renewals; so many at once in all, and to one store.
 void turnsInOrder() {
     Nanoseconds now = milliseconds(1000);
-    Pace pace({3, 2, 0.9, 0}, now);
-    const auto renewal = pace.asks("a", For::renewal, 0, now), probe = pace.asks("b", For::probe, 0, now);
-    const auto first = pace.asks("a", For::statement, 0, now),
-               second = pace.asks("a", For::statement, 0, now);
-    const auto third = pace.asks("a", For::statement, 0, now);
-    assert(pace.next(now) == first && pace.next(now) == second);
-    assert(pace.next(now) == probe);  // a has two
-    assert(!pace.next(now));
-    pace.ended(first, End_::full, milliseconds(1), now);
-    assert(pace.next(now) == third);
-    pace.leaves(second), pace.leaves(third);
-    assert(pace.next(now) == renewal && pace.underWay() == 2 && pace.waiting() == 0);
+    HandshakeLimiter pace({3, 2, 0.9, 0}, now);
+    const auto renewal = pace.enqueue("a", HandshakePurpose::renewal, 0, now),
+               probe = pace.enqueue("b", HandshakePurpose::probe, 0, now);
+    const auto first = pace.enqueue("a", HandshakePurpose::statement, 0, now),
+               second = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+    const auto third = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+    assert(pace.startNext(now) == first && pace.startNext(now) == second);
+    assert(pace.startNext(now) == probe);  // a has two
+    assert(!pace.startNext(now));
+    pace.finish(first, End_::full, milliseconds(1), now);
+    assert(pace.startNext(now) == third);
+    pace.release(second), pace.release(third);
+    assert(pace.startNext(now) == renewal && pace.inFlightCount() == 2 && pace.waitingCount() == 0);
 }
 
 // A storm of a thousand takes its share of the processor and no more, however many may be under way.
 void stormsKeepToTheirShare() {
     Nanoseconds now = milliseconds(1000);
     const Nanoseconds begun = now, cost = milliseconds(2);
-    Pace pace({64, 64, 0.25, 0}, now);
-    for (int i = 0; i < 1000; ++i) pace.asks("s" + std::to_string(i % 7), For::statement, 0, now);
+    HandshakeLimiter pace({64, 64, 0.25, 0}, now);
+    for (int i = 0; i < 1000; ++i)
+        pace.enqueue("s" + std::to_string(i % 7), HandshakePurpose::statement, 0, now);
     Nanoseconds spent = 0;
-    while (pace.waiting() > 0) {
-        while (const auto turn = pace.next(now)) {
-            pace.ended(*turn, End_::full, cost, now);
+    while (pace.waitingCount() > 0) {
+        while (const auto turn = pace.startNext(now)) {
+            pace.finish(*turn, End_::full, cost, now);
             spent += cost;
         }
-        assert(pace.waiting() == 0 || (pace.lookAt() && *pace.lookAt() > now));
-        if (pace.lookAt()) now = *pace.lookAt();
+        assert(pace.waitingCount() == 0 || (pace.nextStartAt() && *pace.nextStartAt() > now));
+        if (pace.nextStartAt()) now = *pace.nextStartAt();
         assert(double(spent) < 0.25 * double(now - begun + milliseconds(100)) + 10 * double(cost));
     }
     assert(double(spent) > 0.2 * double(now - begun));  // and it gets that share
@@ -60,99 +62,103 @@
 // Renewals leave half of the purse to statements.
 void renewalsLeaveRoom() {
     Nanoseconds now = milliseconds(1000);
-    Pace pace({64, 64, 0.1, 0}, now);
-    for (int i = 0; i < 64; ++i) pace.asks("a", For::renewal, 0, now);
+    HandshakeLimiter pace({64, 64, 0.1, 0}, now);
+    for (int i = 0; i < 64; ++i) pace.enqueue("a", HandshakePurpose::renewal, 0, now);
     int begun = 0;
-    while (const auto turn = pace.next(now)) pace.ended(*turn, End_::full, milliseconds(1), now), ++begun;
+    while (const auto turn = pace.startNext(now))
+        pace.finish(*turn, End_::full, milliseconds(1), now), ++begun;
     assert(begun >= 4 && begun <= 6);
-    const auto statement = pace.asks("b", For::statement, 0, now);
-    assert(pace.next(now) == statement);
+    const auto statement = pace.enqueue("b", HandshakePurpose::statement, 0, now);
+    assert(pace.startNext(now) == statement);
 }
 
 // A store that can't be trusted is spared for longer and longer; one that breaks is the decisions' matter.
 void untrustedStoresAreSpared() {
     Nanoseconds now = milliseconds(1000);
-    Pace pace({}, now);
+    HandshakeLimiter pace({}, now);
     Nanoseconds last = 0;
     for (int i = 0; i < 9; ++i) {
-        const auto turn = pace.asks("a", For::statement, 0, now);
-        assert(pace.next(now) == turn);
-        pace.ended(turn, End_::untrusted, milliseconds(1), now);
+        const auto turn = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+        assert(pace.startNext(now) == turn);
+        pace.finish(turn, End_::untrusted, milliseconds(1), now);
         Nanoseconds spared = 0;
-        while (pace.spares("a", now + spared)) spared += milliseconds(100);
+        while (pace.isBackedOff("a", now + spared)) spared += milliseconds(100);
         assert(spared >= last && spared >= milliseconds(1000) && spared <= milliseconds(60'000));
-        assert(!pace.spares("b", now));
+        assert(!pace.isBackedOff("b", now));
         last = spared;
         now += spared;
     }
     assert(last == milliseconds(60'000));
-    auto turn = pace.asks("a", For::statement, 0, now);
-    assert(pace.next(now) == turn);
-    pace.ended(turn, End_::broken, milliseconds(1), now);
-    assert(!pace.spares("a", now));
-    turn = pace.asks("a", For::statement, 0, now);
-    assert(pace.next(now) == turn);
-    pace.ended(turn, End_::resumed, milliseconds(1), now);
-    turn = pace.asks("a", For::statement, 0, now);
-    assert(pace.next(now) == turn);
-    pace.ended(turn, End_::untrusted, milliseconds(1), now);
-    assert(pace.spares("a", now + milliseconds(900)) &&
-           !pace.spares("a", now + milliseconds(1100)));  // from the start again
+    auto turn = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+    assert(pace.startNext(now) == turn);
+    pace.finish(turn, End_::connectionFailed, milliseconds(1), now);
+    assert(!pace.isBackedOff("a", now));
+    turn = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+    assert(pace.startNext(now) == turn);
+    pace.finish(turn, End_::resumed, milliseconds(1), now);
+    turn = pace.enqueue("a", HandshakePurpose::statement, 0, now);
+    assert(pace.startNext(now) == turn);
+    pace.finish(turn, End_::untrusted, milliseconds(1), now);
+    assert(pace.isBackedOff("a", now + milliseconds(900)) &&
+           !pace.isBackedOff("a", now + milliseconds(1100)));  // from the start again
 }
 
 // A store that has just started gets one handshake at a time.
 void coldStoresGetOneAtATime() {
     Nanoseconds now = milliseconds(100'000);
-    Pace pace({16, 4, 0.9, milliseconds(15'000)}, now);
-    for (int i = 0; i < 3; ++i) pace.asks("cold", For::statement, now - milliseconds(5000), now);
-    const auto turn = pace.next(now);
-    assert(turn && !pace.next(now));
-    pace.leaves(*turn);
-    assert(pace.next(now + milliseconds(11'000)) && pace.next(now + milliseconds(11'000)));  // warm by now
+    HandshakeLimiter pace({16, 4, 0.9, milliseconds(15'000)}, now);
+    for (int i = 0; i < 3; ++i)
+        pace.enqueue("cold", HandshakePurpose::statement, now - milliseconds(5000), now);
+    const auto turn = pace.startNext(now);
+    assert(turn && !pace.startNext(now));
+    pace.release(*turn);
+    assert(pace.startNext(now + milliseconds(11'000)) &&
+           pace.startNext(now + milliseconds(11'000)));  // warm by now
 }
 
 // The store used last first, one at a time to each, two at once unless the time is short; done when none is
 // old.
 void renewalsInOrder() {
-    tls::Renewal renewal(milliseconds(30'000));
+    tls::ConnectionRenewal renewal(milliseconds(30'000));
     Nanoseconds now = milliseconds(1'000'000);
     std::map<std::string, Nanoseconds> old{{"a", now - 3}, {"b", now - 1}, {"c", now - 2}};
-    assert(!renewal.next(old, 3, now));
-    renewal.begins(now);
-    assert(renewal.next(old, 3, now) == "b" && renewal.next(old, 3, now) == "c" &&
-           !renewal.next(old, 3, now));
-    renewal.ended("b", milliseconds(20));
-    assert(renewal.next(old, 3, now) == "b");  // it has another, used since
-    renewal.ended("b", milliseconds(20)), renewal.ended("c", milliseconds(20));
+    assert(!renewal.startNext(old, 3, now));
+    renewal.start(now);
+    assert(renewal.startNext(old, 3, now) == "b" && renewal.startNext(old, 3, now) == "c" &&
+           !renewal.startNext(old, 3, now));
+    renewal.finish("b", milliseconds(20));
+    assert(renewal.startNext(old, 3, now) == "b");  // it has another, used since
+    renewal.finish("b", milliseconds(20)), renewal.finish("c", milliseconds(20));
     for (int i = 0; i < 50; ++i) old["s" + std::to_string(i)] = now;
     int atOnce = 0;
-    while (renewal.next(old, 5000, now + milliseconds(10'000))) ++atOnce;
-    assert(atOnce > 10 && !renewal.overdue(now + milliseconds(29'000)) &&
-           renewal.overdue(now + milliseconds(30'000)));
-    for (const auto& [store, at] : old) renewal.ended(store, milliseconds(20));
-    assert(!renewal.next({}, 0, now) && !renewal.on());
+    while (renewal.startNext(old, 5000, now + milliseconds(10'000))) ++atOnce;
+    assert(atOnce > 10 && !renewal.isOverdue(now + milliseconds(29'000)) &&
+           renewal.isOverdue(now + milliseconds(30'000)));
+    for (const auto& [store, at] : old) renewal.finish(store, milliseconds(20));
+    assert(!renewal.startNext({}, 0, now) && !renewal.isActive());
 }
 
 // Each ticket is used once, the newest first; none by another name or under other trust, none too old.
 void ticketsAreUsedOnce() {
-    tls::Tickets tickets(3, 100'000);
+    tls::SessionCache tickets(3, 100'000);
     const auto handle = [](int n) { return std::make_shared<int>(n); };
-    const auto number = [](const tls::Tickets::Handle& held) {
+    const auto number = [](const tls::SessionCache::Handle& held) {
         return held ? *static_cast<int*>(held.get()) : 0;
     };
-    for (int i = 1; i <= 5; ++i) tickets.keep("a", "name", 1, handle(i), 2000, milliseconds(1000));
+    for (int i = 1; i <= 5; ++i) tickets.insert("a", "name", 1, handle(i), 2000, milliseconds(1000));
     assert(tickets.count() == 3);
-    assert(number(tickets.take("a", "name", 1, 0)) == 5 && number(tickets.take("a", "name", 1, 0)) == 4);
-    assert(number(tickets.take("b", "name", 1, 0)) == 0);
-    assert(number(tickets.take("a", "other", 1, 0)) == 0 && tickets.count() == 0);  // of no use any more
-    tickets.keep("a", "name", 1, handle(6), 2000, milliseconds(1000));
-    assert(number(tickets.take("a", "name", 2, 0)) == 0);
-    tickets.keep("a", "name", 1, handle(7), 2000, milliseconds(1000));
-    assert(number(tickets.take("a", "name", 1, milliseconds(1000))) == 0);
+    assert(number(tickets.popNewest("a", "name", 1, 0)) == 5 &&
+           number(tickets.popNewest("a", "name", 1, 0)) == 4);
+    assert(number(tickets.popNewest("b", "name", 1, 0)) == 0);
+    assert(number(tickets.popNewest("a", "other", 1, 0)) == 0 && tickets.count() == 0);  // of no use any more
+    tickets.insert("a", "name", 1, handle(6), 2000, milliseconds(1000));
+    assert(number(tickets.popNewest("a", "name", 2, 0)) == 0);
+    tickets.insert("a", "name", 1, handle(7), 2000, milliseconds(1000));
+    assert(number(tickets.popNewest("a", "name", 1, milliseconds(1000))) == 0);
     for (int i = 0; i < 100'000; ++i)
-        tickets.keep("s" + std::to_string(i % 5000), "name", 1, handle(i), 2000, milliseconds(1000));
+        tickets.insert("s" + std::to_string(i % 5000), "name", 1, handle(i), 2000, milliseconds(1000));
     assert(tickets.bytes() <= 100'000 && tickets.count() > 30);
-    tickets.dropAll();
+    tickets.clear();
     assert(tickets.count() == 0 && tickets.bytes() == 0);
 }
 
