--- a/src/tls/handshake_limiter.cpp
+++ b/src/tls/handshake_limiter.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-// A purse holds what comes in within a tenth of a second: few statements notice a pause of a share of that.
+// The CPU budget accumulates over at most a tenth of a second: few statements notice a pause of a share of
+// it.
 constexpr Nanoseconds cpuBudgetWindow = milliseconds(100);
-// The first handshake is taken to cost a millisecond, as a full one with P-256 does on an old core.
+// Nanoseconds. A full handshake with P-256 takes a millisecond on an old core.
 constexpr double initialCostEstimate = 1e6;
-// A store that can't be trusted is asked again after a second, each further time after twice as long, up to a
-// minute: somebody has to mend it, and each attempt costs both sides a full handshake.
+// Exponential backoff for a store that fails verification: an operator has to repair it, and each attempt
+// costs both sides a full handshake.
 constexpr Nanoseconds initialBackoff = milliseconds(1000), maxBackoff = milliseconds(60'000);
-// Renewals leave half of the purse to those that wait for an answer.
+// Renewals leave this share of the CPU budget to statements and probes, for which somebody is waiting.
 constexpr double budgetReservedFromRenewals = 0.5;
 
 }  // namespace
@@ -45,8 +46,8 @@
     return requestId;
 }
 
-// The first in order whose store may take one more. It guards against reconnect storms. It may hurt where
-// handshakes are all the front has to do: the processor then idles for the rest of the time.
+// Starts the first request by priority whose store is below its limit. This guards against reconnect storms.
+// The drawback: where the proxy has nothing but handshakes to do, the CPU idles for the rest of the time.
 std::optional<HandshakeLimiter::RequestId> HandshakeLimiter::startNext(Nanoseconds now) {
     refill(now);
     nextStartAt_.reset();
@@ -56,7 +57,7 @@
                                   ? budgetReservedFromRenewals * limits_.cpuShare * double(cpuBudgetWindow)
                                   : 0;
         if (cpuBudget_ < needed) {
-            // Those behind it need as much or more.
+            // The requests behind it need as much or more.
             nextStartAt_ =
                 now + static_cast<Nanoseconds>(std::ceil((needed - cpuBudget_) / limits_.cpuShare)) + 1;
             return {};
@@ -98,8 +99,8 @@
     refill(now);
     const auto entry = requests_.find(requestId);
     if (entry == requests_.end()) return;
-    // What it was taken to cost is put right. Cheap resumed ones and dear full ones are learnt as one mean,
-    // as which it will be is not known before.
+    // Corrects the budget by the difference between the expected and the real cost. Cheap resumed and
+    // expensive full handshakes share one average, because the kind isn't known in advance.
     cpuBudget_ += double(entry->second.expectedCost - cost);
     averageCost_ += 0.1 * (double(cost) - averageCost_);
     StoreLoad& store = stores_.at(entry->second.store);
@@ -113,12 +114,12 @@
     release(requestId);
 }
 
-// A store is kept in mind only while something of it matters, as fleets are replaced in time.
+// Keeps state only for stores with requests or failures, so that the map doesn't grow as stores are replaced.
 void HandshakeLimiter::eraseUnusedLoads(const std::string& id, Nanoseconds now) {
     const auto entry = stores_.find(id);
     const StoreLoad& store = entry->second;
     if (store.inFlight == 0 && store.waiting == 0 && store.consecutiveUntrusted == 0) stores_.erase(entry);
-    // Those that were never trusted again go once in a while.
+    // Stores that have never passed verification again are purged once the map has grown large.
     if (stores_.size() > 1000)
         std::erase_if(stores_, [&](const auto& each) {
             return each.second.inFlight == 0 && each.second.waiting == 0 &&
@@ -133,11 +134,12 @@
         if (inFlight_.empty()) active_ = false;
         return {};
     }
-    // Two at once, or as many as are needed to be through in half of the time that there is.
+    // Two at a time, or as many as are needed to finish in half of the period.
     const double remaining = std::max(1.0, double(startedAt_ + period_ / 2 - now));
     const double needed = std::ceil(double(connectionCount) * averageDuration_ / remaining);
     if (double(inFlight_.size()) >= std::max(2.0, std::min(needed, 64.0))) return {};
-    // The store used last first: its next statement comes soonest. One at a time to each.
+    // The most recently used store first: its next statement is likely to come soonest. One at a time per
+    // store.
     const std::string* best = nullptr;
     Nanoseconds bestLastUsedAt = 0;
     for (const auto& [store, lastUsedAt] : lastUsedByStore)
--- a/src/tls/session_cache.cpp
+++ b/src/tls/session_cache.cpp
@@ -14,14 +14,14 @@
 
 void SessionCache::insert(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
                           std::size_t bytes, Nanoseconds expiresAt) {
-    // What its keeping takes besides counts as well: two nodes and the texts.
+    // Overhead counts as well: the nodes of two containers and the strings.
     bytes += 256 + store.size() + name.size();
     if (maxPerStore_ == 0 || bytes > maxBytes_) return;
-    // A store may offer hundreds: its own oldest make way, never another's.
+    // A store may issue hundreds of sessions: they evict its own oldest, never those of another store.
     while (byStore_.count(store) && byStore_.at(store).size() >= maxPerStore_)
         erase(store, byStore_.at(store).front());
     while (bytes_ + bytes > maxBytes_) {
-        const std::string owningStore = oldestFirst_.front().store;  // outlives the ticket
+        const std::string owningStore = oldestFirst_.front().store;  // a copy, because the session is erased
         erase(owningStore, oldestFirst_.begin());
     }
     oldestFirst_.push_back({store, name, epoch, std::move(handle), bytes, expiresAt});
--- a/src/tls/session_cache.hpp
+++ b/src/tls/session_cache.hpp
@@ -1,5 +1,6 @@
-// Sessions that stores have offered to take up again. Each is used once; none outlives the trust under which
-// it was made, nor goes to another store or name. Knows nothing of TLS: what it holds are handles.
+// Cache of TLS sessions (tickets) that stores have issued for resumption. Each session is used once, and only
+// for the store, the expected name and the trust epoch it was made with. The cache is independent of TLS: it
+// holds opaque handles.
 #pragma once
 
 #include <deque>
@@ -15,16 +16,17 @@
 class SessionCache {
 public:
     using Handle = std::shared_ptr<void>;
-    // At most so many for a store, and so many bytes in all; the oldest go first.
+    // Holds at most `maxPerStore` sessions for a store and `maxBytes` in all; evicts the oldest first.
     SessionCache(std::size_t maxPerStore, std::size_t maxBytes)
         : maxPerStore_(maxPerStore), maxBytes_(maxBytes) {}
 
-    // `epoch`: of the trust that the session was made under.
+    // `epoch`: the trust epoch in which the session was made.
     void insert(const std::string& store, const std::string& name, unsigned epoch, Handle handle,
                 std::size_t bytes, Nanoseconds expiresAt);
-    // The newest that is still good; null if there is none.
+    // Removes and returns the newest session that is still valid; null if there is none. Drops the newer ones
+    // that don't match or have expired.
     Handle popNewest(const std::string& store, const std::string& name, unsigned epoch, Nanoseconds now);
-    // New trust or a new identity: nothing made under the old is used any more.
+    // For new trusted certificates or a new client certificate: sessions made before must not be resumed.
     void clear();
     std::size_t bytes() const { return bytes_; }
     std::size_t count() const { return oldestFirst_.size(); }
@@ -41,7 +43,7 @@
     void erase(const std::string& store, SessionList::iterator session);
 
     std::size_t maxPerStore_, maxBytes_, bytes_ = 0;
-    SessionList oldestFirst_;  // the oldest first
+    SessionList oldestFirst_;
     std::map<std::string, std::deque<SessionList::iterator>> byStore_;
 };
 
--- a/src/tls/tls_connector.cpp
+++ b/src/tls/tls_connector.cpp
@@ -16,9 +16,9 @@
 
 constexpr auto asTupleAwaitable = asio::as_tuple(asio::use_awaitable);
 
-// A store's failures are told of once in ten seconds: launches may meet it hundreds of times in between.
+// Refusals are logged at this interval per store: attempts may meet hundreds of them in between.
 constexpr Nanoseconds refusalLogInterval = milliseconds(10'000);
-// What runs out soon is told of at the start, with new files, and once a day.
+// Certificates about to expire are logged at the start, after a change of files, and at this interval.
 constexpr Nanoseconds expiryWarningInterval = milliseconds(24ll * 3600 * 1000);
 
 }  // namespace
@@ -33,7 +33,7 @@
       cores_(cores),
       coldStartTime_(coldStartTime),
       trustStore_(std::make_shared<TrustStore>(settings, std::time(nullptr))),
-      // A sixty-fourth of the memory: half a megabyte of 32, some 250 sessions of 2 KiB.
+      // A sixty-fourth of the memory: half a megabyte of 32, which is some 250 sessions of 2 KiB.
       sessions_(settings.tickets_per_store(), memory / 64),
       limiter_(handshakeLimits(), clock.now()),
       renewal_(milliseconds(1000) * settings.pace().renew_within_seconds()),
@@ -57,7 +57,7 @@
 
 void TlsConnector::update(const fittings::TlsToStores& settings) {
     auto trustStore =
-        std::make_shared<TrustStore>(settings, std::time(nullptr));  // throws before anything has changed
+        std::make_shared<TrustStore>(settings, std::time(nullptr));  // throws before any state has changed
     const bool sameSettings = settings.SerializeAsString() == settings_.SerializeAsString();
     const bool unchanged = sameSettings && trustStore->digest() == trustStore_->digest();
     settings_ = settings;
@@ -76,9 +76,9 @@
     startEligibleHandshakes();
 }
 
-// Put together in one pass, as what the list says may itself look like a placeholder. Empty, which no
-// certificate bears, where the list lacks a part: the rest alone, such as '.halls', would be borne by every
-// store there.
+// Expands the placeholders in one pass, because a value from discovery may itself look like a placeholder.
+// Returns an empty name, which matches no certificate, where discovery lacks a value: the rest alone, such as
+// '.halls', would match the certificate of every store in that domain, and one store could pose as another.
 std::string TlsConnector::expectedName(const std::string& store) const {
     const auto found = addresses_.find(store);
     if (found == addresses_.end()) return {};
@@ -98,7 +98,7 @@
         name += placeholder == placeholders.end() ? std::string(1, rest[0]) : placeholder->second;
         rest.remove_prefix(placeholder == placeholders.end() ? 1 : placeholder->first.size());
     }
-    // A name that begins with a dot stands for all below it (X509_check_host).
+    // X509_check_host takes a name with a leading dot for all names of that domain.
     return name.starts_with('.') ? std::string() : name;
 }
 
@@ -119,7 +119,7 @@
                       [&](const auto& entry) { return now - entry.second.first > refusalLogInterval; });
 }
 
-// Lets those begin that may.
+// Wakes the waiters that may start now, and sets the timer for the next ones.
 void TlsConnector::startEligibleHandshakes() {
     while (const auto requestId = limiter_.startNext(clock_.now())) {
         const auto found = waiters_.find(*requestId);
@@ -160,8 +160,8 @@
     startEligibleHandshakes();
 }
 
-// SSLRequest: the store says in one byte whether it does. What it says besides in plain text may be
-// anybody's.
+// Sends SSLRequest, which the store answers with one byte. Any further plain text could have been injected by
+// an attacker before the handshake, so the connection is refused then.
 asio::awaitable<bool> TlsConnector::requestTls(std::shared_ptr<Line> line,
                                                TlsStream::HandshakeResult& result) {
     const std::string request = postgres::sslRequestMessage();
@@ -171,7 +171,7 @@
     const auto [error, bytesRead] =
         co_await asio::async_read(line->socket, asio::buffer(&reply, 1), asTupleAwaitable);
     result.certificate = "no certificate";
-    // A connection that ended is the network's matter; a store that won't is one that can't be trusted.
+    // A connection that ended is a network failure; a store that declines TLS is untrusted.
     result.untrusted = !writeError && !error;
     boost::system::error_code ignored;
     if (writeError || error)
@@ -192,7 +192,7 @@
     bool tlsAccepted = true;
     if (!settings_.direct()) tlsAccepted = co_await requestTls(line, result);
     if (tlsAccepted && line->ended()) {
-        result.error = "no end in time";
+        result.error = "handshake timed out";
     } else if (tlsAccepted) {
         result = {};
         const Nanoseconds now = clock_.now();
@@ -201,7 +201,7 @@
             SessionCache::Handle handle(
                 offered, [](void* pointer) { SSL_SESSION_free(static_cast<SSL_SESSION*>(pointer)); });
             if (epoch != trustEpoch_) return;
-            // Its length as written out: what the library keeps is that and its certificates, about as much
+            // Twice the serialized length: OpenSSL also keeps the certificates, which take about as much
             // again.
             const auto bytes = static_cast<std::size_t>(std::max(0, i2d_SSL_SESSION(offered, nullptr))) * 2;
             const Nanoseconds lifetime =
@@ -228,7 +228,7 @@
     startEligibleHandshakes();
     if (!succeeded) {
         ++counts_.failed;
-        // Called back, or the network's doing: the decisions' own lines tell of those.
+        // Cancelled attempts and network failures are logged by the router.
         if (result.untrusted) logRefusal(store, result.error, result.certificate);
         line->seal.reset();
         co_return cpuTime;
@@ -248,7 +248,7 @@
     std::size_t count = 0;
     const std::map<std::string, Nanoseconds> old = pool.lastUsed(isOld, count);
     while (const auto store = renewal_.startNext(old, count, now)) {
-        // The new one takes the place of an old one, so that no more are open than before.
+        // The new connection replaces an old one, so that no more are open than before.
         pool.closeOne(*store, isOld);
         due.push_back(*store);
     }
--- a/src/tls/tls_connector.hpp
+++ b/src/tls/tls_connector.hpp
@@ -1,5 +1,6 @@
-// Seals connections to stores: waits for a turn, asks for TLS, shakes hands, keeps tickets; takes new trust
-// while traffic flows. What it may begin, and what comes first, is Pace's and Renewal's to say.
+// Establishes TLS on connections to stores: waits for admission, requests TLS, does the handshake and caches
+// sessions for resumption. Certificates and settings can be replaced while traffic flows. HandshakeLimiter
+// and ConnectionRenewal decide which handshakes may start, and in which order.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,31 +17,34 @@
 
 class TlsConnector {
 public:
-    // `cores`: of the processor that the front may use; `memory`: bytes of it in all. Throws Untrusted.
+    // `cores`: CPU cores that the proxy may use; `memory`: bytes that it may use. Throws CertificateError.
     TlsConnector(asio::any_io_executor executor, const Clock& clock, const AddressBook& addresses,
                  const fittings::TlsToStores& settings, double cores, std::size_t memory,
                  Nanoseconds coldStartTime);
 
-    // Waits until a handshake with the line's store may begin. None: it may not before the line is closed.
-    // Spared: the store could not be trusted lately.
+    // Waits until a handshake on the store connection may start. deferred: the connection was closed before.
+    // backedOff: the store has recently failed verification.
     enum class Admission { granted, deferred, backedOff };
     asio::awaitable<Admission> admit(std::shared_ptr<Line> line, HandshakePurpose purpose);
-    // On a line that is connected and has its turn. Where that fails, it is not sealed and the log says why.
-    // Returns what the handshake took of the processor.
+    // Establishes TLS on an open connection that has been admitted. After a failure `line->seal` is null; a
+    // refused or refusing store is logged. Returns the CPU time of the handshake.
     asio::awaitable<Nanoseconds> handshake(std::shared_ptr<Line> line);
-    // The turn is over without a handshake.
+    // Gives up the admission, queued or granted, of a connection that does no handshake.
     void cancelHandshake(Line& line);
 
-    // New trust and terms, taken whole or not at all. Throws Untrusted.
+    // Replaces certificates and settings as a whole, or changes nothing and throws CertificateError.
     void update(const fittings::TlsToStores& settings);
-    // Whether a line was made under the trust that holds.
+    // Whether the connection was made with the certificates and settings in force.
     bool isCurrent(const Line& line) const { return line.epoch == trustEpoch_; }
-    // Whether it may go on being used: one made before is renewed first, but not after the rest have been.
+    // Whether the connection may return to the pool. An old one may while renewals are in progress, but not
+    // after they have completed.
     bool mayKeepIdle(const Line& line) const { return isCurrent(line) || renewal_.isActive(); }
-    // Once in a while: the stores to which an idle line of the old kind is to be renewed now, out of `pool`.
+    // To be called periodically. Closes old idle connections in `pool` that are due and returns the stores to
+    // which a replacement is to be opened; report each with `finishRenewal`.
     std::vector<std::string> startDueRenewals(LinePool& pool);
     void finishRenewal(const std::string& store, Nanoseconds duration) { renewal_.finish(store, duration); }
 
+    // Handshakes by result; `deferred`: connections closed before their handshake could start.
     struct Counts {
         std::uint64_t full = 0, resumed = 0, failed = 0, deferred = 0;
     };
@@ -65,6 +69,7 @@
     SessionCache sessions_;
     HandshakeLimiter limiter_;
     ConnectionRenewal renewal_;
+    // A coroutine in `admit`; cancelling its timer wakes it.
     struct Waiter {
         asio::steady_timer* timer;
         bool granted = false;
@@ -72,8 +77,8 @@
     std::map<HandshakeLimiter::RequestId, Waiter> waiters_;
     asio::steady_timer retryTimer_;
     Counts counts_;
-    std::map<std::string, std::pair<Nanoseconds, std::uint64_t>>
-        refusalLogs_;  // by store: when last, how many since
+    // By store: the time of the last log line and the number of refusals not logged since.
+    std::map<std::string, std::pair<Nanoseconds, std::uint64_t>> refusalLogs_;
     Nanoseconds expiryWarnedAt_ = 0;
 };
 
--- a/src/tls/tls_stream.cpp
+++ b/src/tls/tls_stream.cpp
@@ -14,7 +14,7 @@
 
 constexpr auto asTupleAwaitable = asio::as_tuple(asio::use_awaitable);
 
-// Where a connection finds its object again when the library calls back.
+// OpenSSL's ex_data index under which an SSL object points to its TlsStream, for callbacks.
 int ownerIndex() {
     static const int index = SSL_get_ex_new_index(0, nullptr, nullptr, nullptr, nullptr);
     return index;
@@ -53,13 +53,13 @@
     if (isAddress(name)) {
         nameSet = X509_VERIFY_PARAM_set1_ip_asc(verifyParam, name.c_str()) == 1;
     } else {
-        // Alternative names alone count: a common name was never meant for it.
+        // Only subject alternative names count: the common name was never meant to hold a host name.
         X509_VERIFY_PARAM_set_hostflags(
             verifyParam, X509_CHECK_FLAG_NEVER_CHECK_SUBJECT | X509_CHECK_FLAG_NO_PARTIAL_WILDCARDS);
         nameSet = !name.empty() && X509_VERIFY_PARAM_set1_host(verifyParam, name.data(), name.size()) == 1 &&
                   SSL_set_tlsext_host_name(ssl_.get(), name.c_str()) == 1;
     }
-    if (!nameSet) throw CertificateError("no name to be expected: '" + name + "'");
+    if (!nameSet) throw CertificateError("no valid host name to verify: '" + name + "'");
     if (direct) {
         static const unsigned char protocol[] = "\x0apostgresql";
         SSL_set_alpn_protos(ssl_.get(), protocol, sizeof protocol - 1);
@@ -70,12 +70,12 @@
 }
 
 TlsStream::~TlsStream() {
-    // A good-bye where the connection is sound, so that the peer can tell; whether it goes out matters not.
+    // Sends close_notify on a healthy connection, so that the peer sees an orderly end; best effort.
     if (handshakeDone_ && !failed_ && socket_.is_open()) SSL_shutdown(ssl_.get());
     ERR_clear_error();
 }
 
-// Judges nothing: it notes what was shown, as the library drops what it refuses.
+// Doesn't change the verdict. It records the refused certificate, because OpenSSL drops it.
 int TlsStream::verifyCallback(int preverified, X509_STORE_CTX* storeContext) {
     const void* const ssl = X509_STORE_CTX_get_ex_data(storeContext, SSL_get_ex_data_X509_STORE_CTX_idx());
     auto* const owner = static_cast<TlsStream*>(SSL_get_ex_data(static_cast<const SSL*>(ssl), ownerIndex()));
@@ -86,13 +86,13 @@
 
 int TlsStream::newSessionCallback(SSL* ssl, SSL_SESSION* session) {
     auto* const owner = static_cast<TlsStream*>(SSL_get_ex_data(ssl, ownerIndex()));
-    // A copy: the library spoils its own when the connection breaks, though the ticket is as good as before.
+    // A copy: OpenSSL invalidates its own session when the connection breaks, though the ticket stays valid.
     if (owner && owner->onSession_ && SSL_SESSION_is_resumable(session))
         owner->onSession_(SSL_SESSION_dup(session));
     return 0;
 }
 
-// Calls until the library needs no more from the socket.
+// Repeats an OpenSSL call, waiting for the socket in between, until it succeeds or fails.
 template <class Operation>
 asio::awaitable<std::pair<boost::system::error_code, int>> TlsStream::retryUntilDone(Operation operation) {
     for (;;) {
@@ -129,17 +129,17 @@
     if (error) {
         const long verifyResult = SSL_get_verify_result(ssl_.get());
         const unsigned long errorCode = ERR_peek_last_error();
-        // An alert from the peer that is about certificates, or its certificate refused by us.
+        // Either we refused the peer's certificate, or the TLS protocol failed, as by an alert from the peer.
         if (verifyResult != X509_V_OK) {
             result.untrusted = true;
             result.error = X509_verify_cert_error_string(verifyResult);
         } else if (errorCode != 0) {
-            // A connection that ends inside says nothing of trust.
+            // A connection that ends during the handshake says nothing about trust.
             result.untrusted = ERR_GET_REASON(errorCode) != SSL_R_UNEXPECTED_EOF_WHILE_READING &&
                                ERR_GET_LIB(errorCode) == ERR_LIB_SSL;
             result.error = popOpenSslError();
         } else {
-            result.error = error == asio::error::operation_aborted ? "no end in time" : error.message();
+            result.error = error == asio::error::operation_aborted ? "handshake timed out" : error.message();
         }
         ERR_clear_error();
         co_return result;
@@ -155,13 +155,13 @@
             co_return result;
         }
     }
-    // A session that is taken up again is not verified again by the library: it has to have been, and its
-    // certificate to be good still.
+    // OpenSSL doesn't verify a resumed session again. Without this check a session could be resumed although
+    // it was never verified or its certificate has expired since.
     if (!peerCertificate || SSL_get_verify_result(ssl_.get()) != X509_V_OK ||
         expiryOf(peerCertificate) <= std::time(nullptr)) {
         result.untrusted = true;
         result.error =
-            !peerCertificate ? "no certificate" : "certificate has run out since the session began";
+            !peerCertificate ? "no certificate" : "certificate has expired since the session began";
         co_return result;
     }
     handshakeDone_ = true;
--- a/src/tls/tls_stream.hpp
+++ b/src/tls/tls_stream.hpp
@@ -1,5 +1,5 @@
-// TLS on a connection that is open. The library reads and writes the socket itself, so that an idle
-// connection holds no buffers of ours; Asio only waits.
+// TLS on an open connection. OpenSSL reads and writes the socket itself, so that an idle connection holds no
+// buffers of ours; Asio only waits for readiness.
 #pragma once
 
 #include <openssl/ssl.h>
@@ -22,17 +22,19 @@
 
 class TlsStream {
 public:
-    // What a finished handshake has shown; `fault` is empty where the peer is who it should be.
+    // How a handshake ended; `error` is empty where the peer has been verified. `certificate` describes the
+    // peer's certificate.
     struct HandshakeResult {
         bool resumed = false;
-        bool untrusted = false;  // it is up, but not who it should be, or we are not who it wants
+        bool untrusted = false;  // the store answers, but one side rejects the other's certificate or TLS
         std::string error, certificate;
     };
-    using SessionCallback =
-        std::function<void(SSL_SESSION*)>;  // takes over one reference to a session to be used again
+    // Takes over one reference to a resumable session.
+    using SessionCallback = std::function<void(SSL_SESSION*)>;
 
-    // `socket` outlives it. `name` is what the peer's certificate has to bear; `session`, where given, is
-    // taken up again. Throws Untrusted.
+    // `socket` must outlive the stream. `name`: the DNS name or IP address that the peer's certificate must
+    // be valid for. `direct`: TLS from the first byte, negotiated by ALPN. `session`, if not null, is
+    // resumed. Throws CertificateError.
     TlsStream(std::shared_ptr<const TrustStore> trustStore, tcp::socket& socket, const std::string& name,
               bool direct, SSL_SESSION* session, SessionCallback onSession);
     ~TlsStream();
@@ -40,13 +42,15 @@
     TlsStream& operator=(const TlsStream&) = delete;
 
     asio::awaitable<HandshakeResult> handshake();
-    // At least one byte; an orderly end is asio::error::eof, one without the peer's good-bye is not.
+    // Reads at least one byte. The error is asio::error::eof after a close_notify of the peer, and another
+    // one after an end without it.
     asio::awaitable<std::pair<boost::system::error_code, std::size_t>> read(std::span<char> buffer);
-    // All bytes; an error means that the last of them has not gone out whole.
+    // Writes all bytes; after an error the last record has not been sent completely.
     asio::awaitable<boost::system::error_code> write(std::string bytes);
-    // Nothing is there to be read and the peer has not ended: takes in what concerns TLS alone.
+    // Whether there is nothing to read and the peer has not closed the connection. Processes pending TLS
+    // messages, such as session tickets.
     bool isIdle();
-    // Time of the processor spent in the handshake.
+    // CPU time spent in the handshake, in nanoseconds.
     std::int64_t handshakeCpuTime() const { return handshakeCpuTime_; }
 
 private:
@@ -64,7 +68,7 @@
     SessionCallback onSession_;
     std::unique_ptr<SSL, Free> ssl_;
     std::int64_t handshakeCpuTime_ = 0;
-    std::string refusedCertificate_;  // a certificate that was refused
+    std::string refusedCertificate_;  // described for the log; empty if none was refused
 };
 
 }  // namespace granitereel::tls
--- a/src/tls/trust_store.cpp
+++ b/src/tls/trust_store.cpp
@@ -19,10 +19,10 @@
 using Key = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
 using RevocationList = std::unique_ptr<X509_CRL, decltype(&X509_CRL_free)>;
 
-// A megabyte holds some hundreds of certificates; more is not what was meant.
+// Holds some hundreds of certificates; a larger file is a mistake.
 constexpr std::size_t maxFileBytes = 1 << 20;
 
-// What is checked is what is read: the file's rights are those of the descriptor.
+// Checks the permissions on the open descriptor, so that the file checked is the file read.
 std::string readFile(const std::string& file, bool isPrivateKey) {
     const int fd = ::open(file.c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0) throw CertificateError(file + ": can't be read");
@@ -30,17 +30,17 @@
         &fd, [](const int* descriptor) { ::close(*descriptor); });
     struct stat status {};
     if (::fstat(fd, &status) != 0 || !S_ISREG(status.st_mode))
-        throw CertificateError(file + ": no ordinary file");
+        throw CertificateError(file + ": not a regular file");
     if (isPrivateKey && (status.st_mode & (S_IRWXO | S_IWGRP | S_IXGRP)))
         throw CertificateError(file + ": others may read it");
     if (isPrivateKey && (status.st_mode & S_IRGRP) && status.st_uid != 0)
-        throw CertificateError(file + ": its group may read it, and it is not root's");
+        throw CertificateError(file + ": readable by its group, but not owned by root");
     std::string content;
     char buffer[16384];
     for (ssize_t bytesRead; (bytesRead = ::read(fd, buffer, sizeof buffer)) != 0;) {
         if (bytesRead < 0) throw CertificateError(file + ": can't be read");
         content.append(buffer, static_cast<std::size_t>(bytesRead));
-        if (content.size() > maxFileBytes) throw CertificateError(file + ": too long");
+        if (content.size() > maxFileBytes) throw CertificateError(file + ": larger than 1 MiB");
     }
     return content;
 }
@@ -49,8 +49,8 @@
     return {BIO_new_mem_buf(content.data(), static_cast<int>(content.size())), &BIO_free};
 }
 
-// Calls `each` until it finds no further entry. An entry that begins and can't be read is a fault: the file
-// may be half written.
+// Calls `readEntry` until it finds no further entry. An entry that begins but can't be parsed is an error:
+// the file may be only partly written.
 void readPemEntries(const std::string& file, const char* entryKind, const std::function<bool()>& readEntry) {
     ERR_clear_error();
     int found = 0;
@@ -82,7 +82,7 @@
     const unsigned long errorCode = ERR_peek_last_error();
     const char* reason = ERR_reason_error_string(errorCode);
     ERR_clear_error();
-    return reason ? reason : "no reason told";
+    return reason ? reason : "no reason given";
 }
 
 std::time_t expiryOf(X509* certificate) {
@@ -92,7 +92,7 @@
 std::string describeCertificate(X509* certificate) {
     if (!certificate) return "no certificate";
     const Bio out(BIO_new(BIO_s_mem()), &BIO_free);
-    // One line whatever is in the name: control characters and all beyond ASCII are escaped.
+    // Stays on one line whatever the name holds: control characters and non-ASCII characters are escaped.
     X509_NAME_print_ex(out.get(), X509_get_subject_name(certificate), 0, XN_FLAG_RFC2253);
     BIO_puts(out.get(), ", serial ");
     i2a_ASN1_INTEGER(out.get(), X509_get0_serialNumber(certificate));
@@ -103,7 +103,7 @@
     char date[32] = "";
     std::tm calendarTime{};
     std::strftime(date, sizeof date, "%Y-%m-%dT%H:%M:%SZ", ::gmtime_r(&end, &calendarTime));
-    // A name may be long; what tells it apart comes early.
+    // A name may be long; its distinguishing part comes early.
     if (description.size() > 300) description.resize(300);
     return description + ", good until " + date;
 }
@@ -115,10 +115,11 @@
     const bool allowTls12 = settings.oldest_version() == fittings::TlsToStores::TLS_1_2 && !settings.direct();
     SSL_CTX_set_min_proto_version(context, allowTls12 ? TLS1_2_VERSION : TLS1_3_VERSION);
     SSL_CTX_set_options(context, SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION);
-    // Buffers of an idle connection are given back; writes are taken up again with the same bytes elsewhere.
+    // Frees the buffers of idle connections, and lets a write be retried with the same bytes at another
+    // address.
     SSL_CTX_set_mode(context, SSL_MODE_RELEASE_BUFFERS | SSL_MODE_ENABLE_PARTIAL_WRITE |
                                   SSL_MODE_ACCEPT_MOVING_WRITE_BUFFER);
-    // A record's head and body by one call.
+    // Reads the header and body of a record with one system call.
     SSL_CTX_set_read_ahead(context, 1);
     SSL_CTX_set_verify(context, SSL_VERIFY_PEER, nullptr);
     SSL_CTX_set_verify_depth(context, static_cast<int>(settings.longest_chain()));
@@ -136,8 +137,8 @@
         certificates_.push_back(std::move(certificate));
         return true;
     });
-    if (!anyUnexpired) throw CertificateError(settings.trust() + ": all that it holds has run out");
-    // Whoever is named there is trusted, also where it is signed by another in turn.
+    if (!anyUnexpired) throw CertificateError(settings.trust() + ": all certificates in it have expired");
+    // Each certificate in the file is a trust anchor, also one that is signed by another.
     unsigned long flags = X509_V_FLAG_PARTIAL_CHAIN;
     if (settings.has_revoked()) {
         content = readFile(settings.revoked(), false);
@@ -149,7 +150,7 @@
             if (!revocationList) return false;
             const ASN1_TIME* const nextUpdate = X509_CRL_get0_nextUpdate(revocationList.get());
             if (nextUpdate && toTime(nextUpdate) < now)
-                throw CertificateError(settings.revoked() + ": a list in it has run out");
+                throw CertificateError(settings.revoked() + ": a revocation list in it has expired");
             X509_STORE_add_crl(store, revocationList.get());
             return true;
         });
@@ -177,7 +178,7 @@
     content = readFile(settings.key(), true);
     addToDigest(digest_, content);
     input = memoryBio(content);
-    // A key that asks for a passphrase can't be had: nobody is there to be asked.
+    // An encrypted key is refused: there is nobody to enter the passphrase.
     const auto noPassphrase = [](char*, int, int, void*) { return -1; };
     const Key key(PEM_read_bio_PrivateKey(input.get(), nullptr, noPassphrase, nullptr), &EVP_PKEY_free);
     if (!key) throw CertificateError(settings.key() + ": " + popOpenSslError());
--- a/src/tls/trust_store.hpp
+++ b/src/tls/trust_store.hpp
@@ -1,4 +1,5 @@
-// What a front trusts and who it is, as read from files: taken whole after checks, or not at all.
+// The trusted certificates, revocation lists and client certificate of a proxy, read from files. They are
+// loaded and validated as a whole, or not at all.
 #pragma once
 
 #include <openssl/ssl.h>
@@ -13,20 +14,20 @@
 
 namespace granitereel::tls {
 
-// The files can't be used; the text names the file and says why.
+// A certificate, key or revocation list can't be used; the message says why and names the file, if any.
 struct CertificateError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class TrustStore {
 public:
-    // Reads and checks all files. Throws Untrusted.
+    // Reads and validates all files. Throws CertificateError.
     TrustStore(const fittings::TlsToStores& settings, std::time_t now);
 
     SSL_CTX* context() const { return context_.get(); }
-    // The same for the same files: whether anything has changed.
+    // Hash of the contents of all files, to detect changes.
     const std::string& digest() const { return digest_; }
-    // Certificates that run out before `then`, a line on each.
+    // Describes each certificate that expires before `limit`.
     std::vector<std::string> expiringBefore(std::time_t limit) const;
 
 private:
@@ -35,15 +36,16 @@
         void operator()(X509* certificate) const { X509_free(certificate); }
     };
     std::unique_ptr<SSL_CTX, Free> context_;
-    std::vector<std::unique_ptr<X509, Free>>
-        certificates_;  // trusted ones, and the own one last where there is one
+    // The trusted certificates, then the client certificate, if there is one.
+    std::vector<std::unique_ptr<X509, Free>> certificates_;
     std::string digest_;
 };
 
-// 'subject CN=..., serial 1A, good until 2027-01-31T00:00:00Z'; of what a peer shows.
+// For log lines: 'subject CN=..., serial 1A, good until 2027-01-31T00:00:00Z'.
 std::string describeCertificate(X509* certificate);
-// The last error of the library on this thread, in its words; the queue is empty after it.
+// OpenSSL's reason for its last error on this thread; clears the thread's error queue.
 std::string popOpenSslError();
+// The notAfter time; 0 if it can't be parsed.
 std::time_t expiryOf(X509* certificate);
 
 }  // namespace granitereel::tls
