--- a/tests/system/module.cpp
+++ b/tests/system/module.cpp
@@ -68,12 +68,10 @@
 
 TEST(Module, KeepsALanesNumberAsOthersCome) {
     Rig rig(false);
-    const int board =
-        rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800)));
+    const int board = rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800)));
     const int write =
         rig.front->indexOfClass(lane("write", Consistency::write, milliseconds(200), RetrySafety::unsafe));
-    EXPECT_EQ(rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800))),
-              board);
+    EXPECT_EQ(rig.front->indexOfClass(lane("board", Consistency::bounded, milliseconds(800))), board);
     EXPECT_NE(board, write);
     // Reads that are out when another lane takes their tier are counted off where they were counted: else its
     // replica would look full for ever.
